--- a/packages/bench/src/cell/simulated-cell.ts
+++ b/packages/bench/src/cell/simulated-cell.ts
@@ -2,7 +2,7 @@
 import {
   Evacuations,
   Scheduler,
-  acceleratorsOf,
+  acceleratorEquivalents,
   ordersFor,
   parseTaskName,
   takeUpContact,
@@ -52,7 +52,7 @@
 function noEvacuations(): Evacuations {
   const source = { table: 'operator', part: '', keyPrefix: 'evacuation/' };
   const evacuations = new Evacuations({ source, staleAfterMs: Infinity });
-  evacuations.noteRead([], 0);
+  evacuations.applyRead([], 0);
   return evacuations;
 }
 
@@ -94,7 +94,7 @@
     this.#scheduler = new Scheduler({
       ctx: quietContext({ id: 'entry-1', clock: { now, wall: now } }),
       leaseMs: LEASE_MS,
-      earlierGrantMs: EARLIER_GRANT_MS,
+      previousOwnerGrantMs: EARLIER_GRANT_MS,
       reclaim,
       evacuations: noEvacuations(),
       config: () => undefined,
@@ -147,7 +147,7 @@
 
   #pass(): void {
     const startedAt = performance.now();
-    this.#scheduler.pass();
+    this.#scheduler.runPass();
     this.#passMs.push(performance.now() - startedAt);
   }
 
@@ -253,12 +253,12 @@
       job.wrote(job.change, this.#version);
     });
     const ids = new Set(dirty.map(({ id }) => id));
-    this.#scheduler.book.fleet.concernedBy(ids).forEach(({ vm }) => this.#news.add(vm));
+    this.#scheduler.book.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#news.add(vm));
   }
 
   #throwAway(run: SimulatedRun): void {
     const step = run.job.submission.steps[0];
     if (step === undefined || step.checkpointing) return;
-    this.#thrownAway += (acceleratorsOf(step.demand) * run.doneMs) / 1000;
+    this.#thrownAway += (acceleratorEquivalents(step.demand) * run.doneMs) / 1000;
   }
 }
--- a/packages/cell/src/advice/advice.steps.ts
+++ b/packages/cell/src/advice/advice.steps.ts
@@ -12,7 +12,7 @@
   job: string;
 }
 
-/** Short, so that tickets run out within a scenario. */
+/** Short, so that tickets expire within a scenario. */
 const VALID_MS = 1200;
 
 function cellOf({ cell }: AdviceSteps): CellWorld {
@@ -28,7 +28,7 @@
   return entry;
 }
 
-async function handIn(world: AdviceSteps, step: Partial<Step>, spec: object): Promise<void> {
+async function submitJob(world: AdviceSteps, step: Partial<Step>, spec: object): Promise<void> {
   const id = cellOf(world).newJobId();
   Object.assign(world, { job: id });
   assert.equal(await submit(entryOf(world), id, { steps: [testStep(step)], spec }), 'accepted');
@@ -54,30 +54,30 @@
   if (this.advisor !== undefined) await this.cell?.stop();
 });
 
-Given('worker 2 is full for 2 s', async function (this: AdviceSteps) {
-  await handIn(this, { tasks: 8 }, { workMs: 2000 });
+Given('worker 2 has no free capacity for 2 s', async function (this: AdviceSteps) {
+  await submitJob(this, { tasks: 8 }, { workMs: 2000 });
   const isFull = (): boolean => cellOf(this).starts(this.job).length === 8;
   assert.ok(await eventually(isFull));
 });
 
-Given('the owner is lost the moment it writes a run down', function (this: AdviceSteps) {
+Given('the owner fails as soon as it has stored a run', function (this: AdviceSteps) {
   const owner = cellOf(this).owner();
   assert.ok(owner);
   loseEntryAtWrite(owner);
 });
 
 When(
-  /^a job of (\d) tasks? that needs advice is handed in$/,
+  /^a job of (\d) tasks? that needs approval is submitted$/,
   async function (this: AdviceSteps, tasks: string) {
-    await handIn(this, { tasks: Number(tasks) }, { workMs: 100 });
+    await submitJob(this, { tasks: Number(tasks) }, { workMs: 100 });
   },
 );
 
 When(
-  'a gang of {int} tasks that needs advice is handed in',
+  'a gang of {int} tasks that needs approval is submitted',
   async function (this: AdviceSteps, tasks: number) {
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 4 };
-    await handIn(this, { tasks, gang: true, demand }, { workMs: 100, gangs: { 0: tasks } });
+    await submitJob(this, { tasks, gang: true, demand }, { workMs: 100, gangs: { 0: tasks } });
   },
 );
 
@@ -99,7 +99,7 @@
   assert.deepEqual(elsewhere, []);
 });
 
-Then('it ran once, whole', function (this: AdviceSteps) {
+Then('each of its tasks ran once, as one gang', function (this: AdviceSteps) {
   const runs = cellOf(this)
     .starts(this.job)
     .map(({ run }) => run);
--- a/packages/cell/src/advice/advisor.ts
+++ b/packages/cell/src/advice/advisor.ts
@@ -1,18 +1,18 @@
-/** The placement advisor, which knows on which runners the steps of some queues may run. */
+/** Port to the placement advisor, which decides on which runners the steps of some queues may run. */
 
-/** Leave to run a step on one life of a runner. */
+/** Permission to run a step on one runner instance. */
 export interface Approval {
   runner: string;
-  /** Goes with each start of a task of the step there. */
+  /** Passed with each start of one of the step's tasks on that runner. */
   ticket: string;
 }
 
-/** What came of asking. Runners that were asked about and aren't approved may never run the step. */
+/** Outcome of a request. Runners that were asked about and are not approved may never run the step. */
 export type AdviceResult =
   | { outcome: 'advised'; approvals: readonly Approval[]; validMs: number }
   | { outcome: 'failed'; detail: string };
 
-/** Never rejects. `step`: the name of the tasks' step; `runners`: at most 100 lives of runners. */
+/** Never rejects. `step`: the step's name; `runners`: ids of at most 100 runner instances. */
 export interface Advisor {
   advise(
     step: string,
--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -7,7 +7,7 @@
 import { JOB_TABLE } from '../job/job-rows.js';
 import { CellOwner, notOwner, type EvacuationBounds } from '../owner/cell-owner.js';
 import { Ownership } from '../owner/ownership.js';
-import type { ReclaimBounds } from '../owner/pass-input.js';
+import type { ReclaimBounds } from '../owner/placement-types.js';
 import type { Row, RowStore } from '../store/row-store.js';
 import { WatchedStore } from '../store/watched-store.js';
 import { AcceptanceRoute } from './acceptance-route.js';
--- a/packages/cell/src/evacuation/evacuated-cell.steps.ts
+++ b/packages/cell/src/evacuation/evacuated-cell.steps.ts
@@ -15,7 +15,7 @@
 } from '../owner/cell-steps.support.js';
 
 interface EvacuationSteps extends CellSteps {
-  /** When the last evacuation was acknowledged, as runners tell the time. */
+  /** When the last evacuation was acknowledged, on the runners' clock. */
   evacuatedAt: number;
 }
 
@@ -23,7 +23,7 @@
   return cellOf(world).workers.filter(({ failureDomain }) => failureDomain === hall);
 }
 
-/** Starts of the job that handed in first, by the runners of this hall. */
+/** Starts of the first submitted job on the runners of this hall. */
 function startsIn(world: EvacuationSteps, hall: string): { task: string; at: number }[] {
   const id = jobOf(world);
   return workersOf(world, hall)
@@ -36,8 +36,8 @@
   Object.assign(world, { evacuatedAt: performance.now() });
 }
 
-/** Evacuates hall east after the starts there are written down, and waits. */
-async function evacuateOnceWritten(world: EvacuationSteps, laterMs: number): Promise<void> {
+/** Evacuates hall east after the starts there have been stored, then waits. */
+async function evacuateOnceStored(world: EvacuationSteps, laterMs: number): Promise<void> {
   await pause(300);
   evacuate(world, 'east');
   await pause(laterMs);
@@ -63,7 +63,7 @@
   evacuate(this, hall);
 });
 
-When('hall {word} is taken back', function (this: EvacuationSteps, hall: string) {
+When('hall {word} is reopened', function (this: EvacuationSteps, hall: string) {
   cellOf(this).takeBack(hall);
 });
 
@@ -75,16 +75,16 @@
   workersOf(this, 'east').forEach(({ guard }) => guard.stop());
 });
 
-Given('runners in hall east that answer no start', function (this: EvacuationSteps) {
+Given('runners in hall east that do not answer starts', function (this: EvacuationSteps) {
   workersOf(this, 'east').forEach(({ runner }) => Object.assign(runner, { dark: true }));
 });
 
-When('a job of {int} tasks is handed in', async function (this: EvacuationSteps, tasks: number) {
+When('a job of {int} tasks is submitted', async function (this: EvacuationSteps, tasks: number) {
   await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
 });
 
 When(
-  'a job of {int} tasks is handed in {int} ms later',
+  'a job of {int} tasks is submitted {int} ms later',
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
     await pause(laterMs);
     await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
@@ -92,7 +92,7 @@
 );
 
 When(
-  'a job of {int} tasks is handed in at the other entry',
+  'a job of {int} tasks is submitted at the other entry',
   async function (this: EvacuationSteps, tasks: number) {
     const cell = cellOf(this);
     const other = cell.entries.find(({ store }) => store.fault === 'none');
@@ -103,7 +103,7 @@
 );
 
 When(
-  'a job of {int} tasks that take 1 s is handed in {int} ms later',
+  'a job of {int} tasks that take 1 s is submitted {int} ms later',
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
     await pause(laterMs);
     const steps = [testStep({ tasks, maxPerWorker: 4 })];
@@ -112,7 +112,7 @@
 );
 
 When(
-  'a job of {int} tasks that take 1 s is handed in and has begun in hall east',
+  'a job of {int} tasks that take 1 s is submitted and has started in hall east',
   async function (this: EvacuationSteps, tasks: number) {
     const steps = [testStep({ tasks, maxPerWorker: 4 })];
     await handIn(this, { steps, spec: { workMs: 1000 } });
@@ -121,7 +121,7 @@
 );
 
 When(
-  'a gang of {int} tasks that needs both halls is handed in',
+  'a gang of {int} tasks that needs both halls is submitted',
   async function (this: EvacuationSteps, tasks: number) {
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
     const steps = [testStep({ tasks, gang: true, demand })];
@@ -132,7 +132,7 @@
 When(
   'hall east is evacuated, and its guards are back in contact {int} ms later',
   async function (this: EvacuationSteps, laterMs: number) {
-    await evacuateOnceWritten(this, laterMs);
+    await evacuateOnceStored(this, laterMs);
     workersOf(this, 'east').forEach((worker) => restartGuard(worker));
   },
 );
@@ -140,7 +140,7 @@
 When(
   'hall east is evacuated, and its runners answer again {int} ms later',
   async function (this: EvacuationSteps, laterMs: number) {
-    await evacuateOnceWritten(this, laterMs);
+    await evacuateOnceStored(this, laterMs);
     workersOf(this, 'east').forEach(({ runner }) => Object.assign(runner, { dark: false }));
   },
 );
@@ -163,7 +163,7 @@
   },
 );
 
-Then('all of its tasks ran in hall west at last', function (this: EvacuationSteps) {
+Then('the last run of each of its tasks was in hall west', function (this: EvacuationSteps) {
   const last = Math.max(
     ...cellOf(this)
       .starts(jobOf(this))
@@ -184,7 +184,7 @@
 });
 
 Then(
-  'nothing of it has begun {int} ms later',
+  'none of its tasks has started {int} ms later',
   async function (this: EvacuationSteps, laterMs: number) {
     await pause(laterMs);
     assert.deepEqual(cellOf(this).starts(jobOf(this)), []);
@@ -192,7 +192,7 @@
 );
 
 Then(
-  'tasks of it have begun in hall east within {int} ms',
+  'some of its tasks have started in hall east within {int} ms',
   async function (this: EvacuationSteps, withinMs: number) {
     assert.ok(await eventually(() => startsIn(this, 'east').length > 0, withinMs));
   },
--- a/packages/cell/src/evacuation/evacuation-watch.ts
+++ b/packages/cell/src/evacuation/evacuation-poller.ts
@@ -1,50 +1,49 @@
-/** Reads the operator's evacuations again and again while an entry owns the cell. */
+/** Polls the operator's evacuations while an entry owns the cell. */
 import type { ProcessContext } from '@zincspan/core';
 import { pause } from '../clock/pause.js';
 import type { RowStore } from '../store/row-store.js';
 import type { EvacuationChange, Evacuations } from './evacuations.js';
 
-/** Pause between reads, in ms: a failure domain that was taken back is used again after about as long. */
-const READ_EVERY_MS = 400;
+/** A failure domain that was reopened is used again after about this long. */
+const POLL_INTERVAL_MS = 400;
 
-/** A read that takes longer than this is given up, in ms: an idle connection may have gone silent for good. */
+/** Slower reads are abandoned: an idle connection may be dead without notice. */
 const READ_TIMEOUT_MS = 1200;
 
-/** What the watch is made of. */
-export interface EvacuationWatchOptions {
+export interface EvacuationPollerOptions {
   ctx: ProcessContext;
   store: RowStore;
   evacuations: Evacuations;
   onChanges: (changes: readonly EvacuationChange[]) => void;
 }
 
-/** One watch for one term. */
-export class EvacuationWatch {
-  readonly #options: EvacuationWatchOptions;
+/** One instance per ownership term. */
+export class EvacuationPoller {
+  readonly #options: EvacuationPollerOptions;
 
   #stopped = false;
 
-  constructor(options: EvacuationWatchOptions) {
+  constructor(options: EvacuationPollerOptions) {
     this.#options = options;
   }
 
   start(): void {
-    void this.#run();
+    void this.#poll();
   }
 
   stop(): void {
     this.#stopped = true;
   }
 
-  async #run(): Promise<void> {
+  async #poll(): Promise<void> {
     while (!this.#stopped) {
       try {
         await this.#read();
       } catch (err) {
         this.#options.ctx.metrics.count('evacuation.read-failed');
-        this.#options.ctx.log.error({ err }, 'reading evacuations failed');
+        this.#options.ctx.log.error({ err }, 'failed to read evacuations');
       }
-      await pause(READ_EVERY_MS);
+      await pause(POLL_INTERVAL_MS);
     }
   }
 
@@ -57,7 +56,7 @@
       ctx.metrics.count('evacuation.read-failed');
       return;
     }
-    const changes = evacuations.noteRead(result.rows, sentAt);
+    const changes = evacuations.applyRead(result.rows, sentAt);
     if (changes.length > 0) onChanges(changes);
   }
 }
--- a/packages/cell/src/evacuation/evacuations.feature
+++ b/packages/cell/src/evacuation/evacuations.feature
@@ -1,35 +1,35 @@
-Feature: what an owner knows of evacuations, and how well
+Feature: an owner's view of evacuations, and how long it stays valid
 
   Background:
-    Given evacuations that are known for 1000 ms
+    Given evacuation state that is valid for 1000 ms
 
-  Scenario: nothing is ordered before anything is known
-    Then nothing may be ordered in hall east at 0 ms
+  Scenario: nothing is ordered before the first read
+    Then a start may not be ordered in hall east at 0 ms
 
-  Scenario: a read says that nothing is evacuated, for a while
-    When a read sent at 0 ms tells of no hall
-    Then something may be ordered in hall east at 900 ms
-    And nothing may be ordered in hall east at 1000 ms
+  Scenario: a read without evacuations permits starts for a while
+    When a read sent at 0 ms finds no evacuated hall
+    Then a start may be ordered in hall east at 900 ms
+    And a start may not be ordered in hall east at 1000 ms
 
-  Scenario: a write that was done says so too, of the halls that it named
-    When a write sent at 500 ms that named hall east is done
-    Then something may be ordered in hall east at 1400 ms
-    And nothing may be ordered in hall west at 600 ms
+  Scenario: a successful write permits starts in the halls that it expected to be open
+    When a write sent at 500 ms that expects hall east to be open succeeds
+    Then a start may be ordered in hall east at 1400 ms
+    And a start may not be ordered in hall west at 600 ms
 
-  Scenario: a write that met an evacuation
-    When a read sent at 0 ms tells of no hall
-    And a write sent at 100 ms that named hall east meets its row
-    Then hall east is known as evacuated
-    And nothing may be ordered in hall east at 200 ms
-    And something may be ordered in hall west at 200 ms
+  Scenario: a write fails because of an evacuation
+    When a read sent at 0 ms finds no evacuated hall
+    And a write sent at 100 ms that expects hall east to be open finds it evacuated
+    Then hall east is known to be evacuated
+    And a start may not be ordered in hall east at 200 ms
+    And a start may be ordered in hall west at 200 ms
 
-  Scenario: an answer that was asked for earlier comes later
-    When a write sent at 100 ms that named hall east meets its row
-    And a read sent at 0 ms tells of no hall
-    Then hall east is known as evacuated
+  Scenario: an outdated answer arrives late
+    When a write sent at 100 ms that expects hall east to be open finds it evacuated
+    And a read sent at 0 ms finds no evacuated hall
+    Then hall east is known to be evacuated
 
-  Scenario: a read tells of a hall that was taken back
-    When a read sent at 0 ms tells of hall east
-    And a read sent at 400 ms tells of no hall
-    Then hall east isn't known as evacuated
-    And something may be ordered in hall east at 500 ms
+  Scenario: a read finds that a hall was reopened
+    When a read sent at 0 ms finds that hall east is evacuated
+    And a read sent at 400 ms finds no evacuated hall
+    Then hall east isn't known to be evacuated
+    And a start may be ordered in hall east at 500 ms
--- a/packages/cell/src/evacuation/evacuations.steps.ts
+++ b/packages/cell/src/evacuation/evacuations.steps.ts
@@ -9,50 +9,53 @@
 }
 
 function rowOf({ evacuations }: EvacuationsSteps, hall: string): Row {
-  return { ...evacuations.expectedRow(hall), value: Buffer.alloc(0), version: 7 };
+  return { ...evacuations.expectedAbsentRow(hall), value: Buffer.alloc(0), version: 7 };
 }
 
 Given(
-  'evacuations that are known for {int} ms',
+  'evacuation state that is valid for {int} ms',
   function (this: EvacuationsSteps, staleAfterMs: number) {
     this.evacuations = new Evacuations({ source: TEST_EVACUATION_SOURCE, staleAfterMs });
   },
 );
 
-When('a read sent at {int} ms tells of no hall', function (this: EvacuationsSteps, sentAt: number) {
-  this.evacuations.noteRead([], sentAt);
-});
+When(
+  'a read sent at {int} ms finds no evacuated hall',
+  function (this: EvacuationsSteps, sentAt: number) {
+    this.evacuations.applyRead([], sentAt);
+  },
+);
 
 When(
-  'a read sent at {int} ms tells of hall {word}',
+  'a read sent at {int} ms finds that hall {word} is evacuated',
   function (this: EvacuationsSteps, sentAt: number, hall: string) {
-    this.evacuations.noteRead([rowOf(this, hall)], sentAt);
+    this.evacuations.applyRead([rowOf(this, hall)], sentAt);
   },
 );
 
 When(
-  'a write sent at {int} ms that named hall {word} is done',
+  'a write sent at {int} ms that expects hall {word} to be open succeeds',
   function (this: EvacuationsSteps, sentAt: number, hall: string) {
-    this.evacuations.noteConfirmed([hall], sentAt);
+    this.evacuations.applyConfirmedWrite([hall], sentAt);
   },
 );
 
 When(
-  'a write sent at {int} ms that named hall {word} meets its row',
+  'a write sent at {int} ms that expects hall {word} to be open finds it evacuated',
   function (this: EvacuationsSteps, sentAt: number, hall: string) {
-    this.evacuations.noteConflict([hall], [rowOf(this, hall)], sentAt);
+    this.evacuations.applyConflict([hall], [rowOf(this, hall)], sentAt);
   },
 );
 
 Then(
-  /^(something|nothing) may be ordered in hall (\w+) at (\d+) ms$/,
-  function (this: EvacuationsSteps, what: string, hall: string, now: string) {
-    assert.equal(this.evacuations.mayOrder(hall, Number(now)), what === 'something');
+  /^a start (may|may not) be ordered in hall (\w+) at (\d+) ms$/,
+  function (this: EvacuationsSteps, verdict: string, hall: string, now: string) {
+    assert.equal(this.evacuations.mayOrderStart(hall, Number(now)), verdict === 'may');
   },
 );
 
 Then(
-  /^hall (\w+) (is|isn't) known as evacuated$/,
+  /^hall (\w+) (is|isn't) known to be evacuated$/,
   function (this: EvacuationsSteps, hall: string, verdict: string) {
     assert.equal(this.evacuations.isEvacuated(hall), verdict === 'is');
   },
--- a/packages/cell/src/evacuation/evacuations.ts
+++ b/packages/cell/src/evacuation/evacuations.ts
@@ -1,112 +1,111 @@
 /**
- * Failure domains in which the operator wants nothing more to start, as one owner knows them. A run becomes durable only by a
- * write that names the rows of its failure domains as absent; what is durable already is ordered only while that
- * is known well enough.
+ * An owner's view of the failure domains that the operator has evacuated: nothing more may start there. A run becomes durable only
+ * by a write that expects the evacuation rows of its failure domains to be absent; a run that is durable already is ordered only
+ * while that is known recently enough.
  */
 import { sameRow, type Row, type RowKey } from '../store/row-store.js';
 
-/** Where the operator's evacuations stand: one row each, whose key is the prefix and the name of the failure domain. */
+/** Location of the operator's evacuations: one row per failure domain, with the key prefix followed by the domain's name as key. */
 export interface EvacuationSource {
   table: string;
   part: string;
   keyPrefix: string;
 }
 
-/** A failure domain was evacuated, or taken back. */
+/** A failure domain that was evacuated or reopened. */
 export interface EvacuationChange {
   failureDomain: string;
   isEvacuated: boolean;
-  /** Of the operator's row: the present one, or the one that is gone. */
+  /** Version of the operator's row; after reopening, of the deleted row. */
   version: number;
 }
 
-/** All of them. Moments are on the owner's monotonic clock, in ms. */
+/** Times are on the owner's monotonic clock, in ms. */
 export class Evacuations {
   readonly #source: EvacuationSource;
 
   readonly #staleAfterMs: number;
 
-  /** Versions of the rows of evacuated failure domains. */
+  /** Row versions by evacuated failure domain. */
   readonly #versions = new Map<string, number>();
 
-  /** When the newest call was sent that told of each failure domain, where that was later than the last read of all. */
-  readonly #toldAt = new Map<string, number>();
+  /** By failure domain: when the newest call was sent whose answer covered it. */
+  readonly #confirmedAt = new Map<string, number>();
 
-  /** When the last read of all rows was sent. */
-  #readAt = -Infinity;
+  /** When the last full read was sent. */
+  #fullReadAt = -Infinity;
 
   constructor({
     source,
     staleAfterMs,
   }: {
     source: EvacuationSource;
-    /** What is known is good for this long to order a start that is durable. */
+    /** Starts that are durable may be ordered for this long after the state was last confirmed. */
     staleAfterMs: number;
   }) {
     this.#source = source;
     this.#staleAfterMs = staleAfterMs;
   }
 
-  /** The range of the store's keys in which all of them stand. */
+  /** Key range of all evacuation rows. */
   get range(): { table: string; part: string; from: string; to: string } {
     const { table, part, keyPrefix } = this.#source;
     return { table, part, from: keyPrefix, to: `${keyPrefix}\uffff` };
   }
 
-  /** Evacuated failure domains. */
-  get all(): string[] {
+  get evacuatedDomains(): string[] {
     return [...this.#versions.keys()];
   }
 
-  /** How old the last read of all is; Infinity before the first. */
+  /** Age of the last full read; Infinity before the first. */
   ageMs(now: number): number {
-    return now - this.#readAt;
+    return now - this.#fullReadAt;
   }
 
   isEvacuated(failureDomain: string): boolean {
     return this.#versions.has(failureDomain);
   }
 
-  /** A durable start may be ordered there: nothing older than the bound says that it isn't evacuated. */
-  mayOrder(failureDomain: string, now: number): boolean {
+  /** True if a durable start may be ordered there: it was confirmed within `staleAfterMs` that the domain isn't evacuated. */
+  mayOrderStart(failureDomain: string, now: number): boolean {
     if (this.isEvacuated(failureDomain)) return false;
-    return now - this.#knownAt(failureDomain) < this.#staleAfterMs;
+    return now - this.#lastConfirmedAt(failureDomain) < this.#staleAfterMs;
   }
 
-  /** What a write has to expect that lets something start in a failure domain. */
-  expectedRow(failureDomain: string): RowKey & { version: number } {
+  /** Row that a write must expect to be absent if it makes starts in the failure domain durable. */
+  expectedAbsentRow(failureDomain: string): RowKey & { version: number } {
     const { table, part, keyPrefix } = this.#source;
     return { table, part, key: `${keyPrefix}${failureDomain}`, version: 0 };
   }
 
-  /** All rows, by a read that was sent at this moment. */
-  noteRead(rows: readonly Row[], sentAt: number): EvacuationChange[] {
-    if (sentAt < this.#readAt) return [];
-    this.#readAt = sentAt;
-    const told = rows.map((row) => this.#nameOf(row));
-    const names = new Set([...this.#versions.keys(), ...told]);
-    return [...names].flatMap((name) => this.#note(name, rows, sentAt));
+  /** Applies a full read that was sent at `sentAt`. Returns what has changed. */
+  applyRead(rows: readonly Row[], sentAt: number): EvacuationChange[] {
+    if (sentAt < this.#fullReadAt) return [];
+    this.#fullReadAt = sentAt;
+    const found = rows.map((row) => this.#domainOf(row));
+    const names = new Set([...this.#versions.keys(), ...found]);
+    return [...names].flatMap((name) => this.#applyRow(name, rows, sentAt));
   }
 
-  /** The write that expected these failure domains not to be evacuated met other rows. */
-  noteConflict(
+  /** Applies the rows found by a write that failed because it expected these failure domains not to be evacuated. */
+  applyConflict(
     failureDomains: readonly string[],
     rows: readonly Row[],
     sentAt: number,
   ): EvacuationChange[] {
-    return failureDomains.flatMap((name) => this.#note(name, rows, sentAt));
+    return failureDomains.flatMap((name) => this.#applyRow(name, rows, sentAt));
   }
 
-  /** The write that expected these failure domains not to be evacuated was done. */
-  noteConfirmed(failureDomains: readonly string[], sentAt: number): void {
-    failureDomains.forEach((name) => this.#noteTold(name, sentAt));
+  /** Applies the success of a write that expected these failure domains not to be evacuated. */
+  applyConfirmedWrite(failureDomains: readonly string[], sentAt: number): void {
+    failureDomains.forEach((name) => this.#confirm(name, sentAt));
   }
 
-  #note(failureDomain: string, rows: readonly Row[], sentAt: number): EvacuationChange[] {
-    // An answer that was asked for earlier may come later.
-    if (sentAt < (this.#toldAt.get(failureDomain) ?? -Infinity)) return [];
-    this.#noteTold(failureDomain, sentAt);
-    const key = this.expectedRow(failureDomain);
+  #applyRow(failureDomain: string, rows: readonly Row[], sentAt: number): EvacuationChange[] {
+    // Ignores answers to calls that were sent earlier than the newest applied one.
+    if (sentAt < (this.#confirmedAt.get(failureDomain) ?? -Infinity)) return [];
+    this.#confirm(failureDomain, sentAt);
+    const key = this.expectedAbsentRow(failureDomain);
     const version = rows.find((row) => sameRow(row, key))?.version;
     const earlier = this.#versions.get(failureDomain);
     if (version === earlier) return [];
@@ -117,15 +116,18 @@
     ];
   }
 
-  #noteTold(failureDomain: string, sentAt: number): void {
-    this.#toldAt.set(failureDomain, Math.max(sentAt, this.#toldAt.get(failureDomain) ?? sentAt));
+  #confirm(failureDomain: string, sentAt: number): void {
+    this.#confirmedAt.set(
+      failureDomain,
+      Math.max(sentAt, this.#confirmedAt.get(failureDomain) ?? sentAt),
+    );
   }
 
-  #knownAt(failureDomain: string): number {
-    return Math.max(this.#readAt, this.#toldAt.get(failureDomain) ?? -Infinity);
+  #lastConfirmedAt(failureDomain: string): number {
+    return Math.max(this.#fullReadAt, this.#confirmedAt.get(failureDomain) ?? -Infinity);
   }
 
-  #nameOf({ key }: Row): string {
+  #domainOf({ key }: Row): string {
     return key.slice(this.#source.keyPrefix.length);
   }
 }
--- a/packages/cell/src/evacuation/withdrawal.ts
+++ b/packages/cell/src/evacuation/start-withdrawal.ts
@@ -1,11 +1,11 @@
-/** Takes back what was to start in a failure domain that the operator has evacuated. What has begun there goes on to its end. */
+/** Withdraws runs that have not started yet in an evacuated failure domain. Runs that have started there run to their end. */
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { RunBook } from '../owner/run-book.js';
 
 const REASON = 'failure domain evacuated';
 
-/** Answers how many runs were taken back and how many go on there. */
-export function withdrawStarts(
+/** Returns how many runs were withdrawn and how many continue there. */
+export function withdrawPendingStarts(
   book: RunBook,
   failureDomain: string,
 ): { withdrawn: number; running: number } {
@@ -24,7 +24,7 @@
 
 function withdraw(book: RunBook, worker: Worker, assignment: Assignment): boolean {
   if (assignment.stopping !== undefined) return false;
-  // Nothing was ordered before it was durable. It also mustn't be written any more: that write would fail again and again.
+  // A run that isn't durable was never ordered. It also must not be written any more: that write would fail repeatedly.
   if (!book.orders.isDurable(assignment)) book.lose(worker, assignment, REASON);
   else book.stop(assignment, REASON);
   return true;
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -20,5 +20,5 @@
 export * from './owner/owned-job.js';
 export * from './owner/owner-row.js';
 export * from './owner/scheduler.js';
-export * from './owner/standings.js';
+export * from './owner/urgency-factors.js';
 export * from './store/row-store.js';
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -9,10 +9,10 @@
   type Peer,
   type ProcessContext,
 } from '@zincspan/core';
-import { AdviceDesk } from '../advice/advice-desk.js';
+import { ApprovalRequester } from '../advice/approval-requester.js';
 import type { Advisor } from '../advice/advisor.js';
 import type { CellConfig } from '../config/cell-config.js';
-import { EvacuationWatch } from '../evacuation/evacuation-watch.js';
+import { EvacuationPoller } from '../evacuation/evacuation-poller.js';
 import {
   Evacuations,
   type EvacuationChange,
@@ -28,9 +28,9 @@
 import { START_TAKES_MS } from '../guard/run-orders.js';
 import { ordersFor, takeUpContact } from './contact-handler.js';
 import { EndedSweeper } from './ended-sweeper.js';
-import { leaseLengthMs } from './lease-length.js';
+import { leaseDurationMs } from './lease-duration.js';
 import type { OwnedJob } from './owned-job.js';
-import type { ReclaimBounds } from './pass-input.js';
+import type { ReclaimBounds } from './placement-types.js';
 import { ProgressWriter, type OwnerTransact } from './progress-writer.js';
 import type { RunBook } from './run-book.js';
 import { Scheduler } from './scheduler.js';
@@ -114,9 +114,9 @@
 
   readonly #sweeper: EndedSweeper;
 
-  readonly #evacuationWatch: EvacuationWatch;
+  readonly #evacuationWatch: EvacuationPoller;
 
-  readonly #adviceDesk: AdviceDesk | undefined;
+  readonly #adviceDesk: ApprovalRequester | undefined;
 
   /** Links to guards, by VM. */
   readonly #guards = new Map<string, Peer>();
@@ -152,7 +152,7 @@
     this.#scheduler = new Scheduler({
       ctx,
       leaseMs,
-      earlierGrantMs: UNCONFIRMED_MS,
+      previousOwnerGrantMs: UNCONFIRMED_MS,
       reclaim,
       evacuations,
       config,
@@ -161,18 +161,18 @@
         onNews: (vm) => this.#poke(vm),
       },
     });
-    this.#evacuationWatch = new EvacuationWatch({
+    this.#evacuationWatch = new EvacuationPoller({
       ctx,
       store,
       evacuations,
       onChanges: (changes) => this.#noteEvacuations(changes),
     });
     if (advisor !== undefined) {
-      this.#adviceDesk = new AdviceDesk({
+      this.#adviceDesk = new ApprovalRequester({
         ctx,
         advisor,
-        book: this.#scheduler.advice,
-        onAdvice: () => this.#wantPass(),
+        cache: this.#scheduler.approvals,
+        onUpdate: () => this.#wantPass(),
       });
     }
     this.#sweeper = new EndedSweeper({
@@ -191,7 +191,7 @@
       configKey: options.configKey,
       events: {
         onEvacuationConflict: (named, rows, sentAt) =>
-          this.#noteEvacuations(evacuations.noteConflict(named, rows, sentAt)),
+          this.#noteEvacuations(evacuations.applyConflict(named, rows, sentAt)),
         onDurable: (jobs) => this.#noteDurable(jobs),
         onAccepted: (rows) => this.#takeUpAccepted(rows),
         onCancelled: (job) => this.#book.cancel(job),
@@ -267,7 +267,7 @@
     const unconfirmedMs = this.#unconfirmedMs();
     const told = { term, unconfirmedMs, ...orders };
     if (unconfirmedMs >= UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
-    const leaseMs = leaseLengthMs(worker.runner, this.#options.leaseMs);
+    const leaseMs = leaseDurationMs(worker.runner, this.#options.leaseMs);
     worker.grant(this.#book.now(), leaseMs);
     return { ...told, leaseMs };
   }
@@ -301,7 +301,7 @@
 
   #noteEvacuations(changes: readonly EvacuationChange[]): void {
     if (this.#stopped) return;
-    this.#scheduler.noteEvacuations(changes);
+    this.#scheduler.applyEvacuations(changes);
     if (changes.length > 0) this.#wantPass();
   }
 
@@ -322,8 +322,8 @@
     this.#passedAt = startedAt;
     if (this.#unconfirmedMs() > DECIDE_WITHIN_MS) return;
     try {
-      const questions = this.#scheduler.pass();
-      this.#adviceDesk?.want(questions);
+      const questions = this.#scheduler.runPass();
+      this.#adviceDesk?.requestFirst(questions);
     } catch (err) {
       this.#options.ctx.metrics.count('pass.failed');
       this.#options.ctx.log.error({ err }, 'a placing pass failed');
@@ -333,7 +333,7 @@
 
   #noteDurable(jobs: readonly OwnedJob[]): void {
     const ids = new Set(jobs.map(({ id }) => id));
-    this.#book.fleet.concernedBy(ids).forEach(({ vm }) => this.#poke(vm));
+    this.#book.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#poke(vm));
     this.#wantPass();
   }
 
--- a/packages/cell/src/owner/changing-room.steps.ts
+++ b/packages/cell/src/owner/changing-capacity.steps.ts
@@ -6,54 +6,53 @@
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
 
-/** A contact later the owner knows what a heartbeat said, in ms. */
-const KNOWN_AFTER_MS = 1200;
+/** The owner learns of a heartbeat with the next contact, within this time. */
+const HEARTBEAT_KNOWN_AFTER_MS = 1200;
 
-/** Looks this often at what runs, in ms. */
-const LOOK_EVERY_MS = 20;
+const POLL_INTERVAL_MS = 20;
 
-function runningNow(world: CellSteps): number {
+function runningTasks(world: CellSteps): number {
   const [worker] = cellOf(world).workers;
   return worker?.runner.life?.running().length ?? 0;
 }
 
 When(
-  'its runner says that it has room for {int} accelerators',
+  'its runner reports a capacity of {int} accelerators',
   async function (this: CellSteps, accelerators: number) {
     const [worker] = cellOf(this).workers;
     assert.ok(worker);
     const grows = accelerators > worker.accelerators;
     worker.accelerators = accelerators;
     sendHeartbeat(worker);
-    if (!grows) await pause(KNOWN_AFTER_MS);
+    if (!grows) await pause(HEARTBEAT_KNOWN_AFTER_MS);
   },
 );
 
 When(
-  /^a job of (\d+) tasks? that takes? (\d) s is handed in( and all have begun)?$/,
-  async function (this: CellSteps, tasks: string, seconds: string, begun: string | null) {
+  /^a job of (\d+) tasks? that takes? (\d) s is submitted( and all have started)?$/,
+  async function (this: CellSteps, tasks: string, seconds: string, allStarted: string | null) {
     const steps = [testStep({ tasks: Number(tasks) })];
     await handIn(this, { steps, spec: { workMs: Number(seconds) * 1000 } });
-    if (begun === null) return;
-    assert.ok(await eventually(() => runningNow(this) === Number(tasks)));
+    if (allStarted === null) return;
+    assert.ok(await eventually(() => runningTasks(this) === Number(tasks)));
   },
 );
 
 Then(
-  'no more than {int} of its tasks ever run at once',
+  'at most {int} of its tasks run at the same time',
   { timeout: 15_000 },
-  async function (this: CellSteps, most: number) {
-    let seen = 0;
+  async function (this: CellSteps, max: number) {
+    let maxSeen = 0;
     while ((await cellOf(this).state(jobOf(this))) !== 'completed') {
-      seen = Math.max(seen, runningNow(this));
-      await pause(LOOK_EVERY_MS);
+      maxSeen = Math.max(maxSeen, runningTasks(this));
+      await pause(POLL_INTERVAL_MS);
     }
-    assert.ok(seen <= most, `${seen} ran at once`);
+    assert.ok(maxSeen <= max, `${maxSeen} tasks ran at the same time`);
   },
 );
 
 Then(
-  'the second job begins only after the first has ended',
+  'the second job starts only after the first has ended',
   { timeout: 15_000 },
   async function (this: CellSteps) {
     const cell = cellOf(this);
@@ -74,7 +73,7 @@
   );
 });
 
-Then(/^its first run has begun within 0.8 s$/, async function (this: CellSteps) {
-  const hasBegun = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
-  assert.ok(await eventually(hasBegun, 800));
+Then(/^its first run has started within 0.8 s$/, async function (this: CellSteps) {
+  const hasStarted = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
+  assert.ok(await eventually(hasStarted, 800));
 });
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -13,7 +13,7 @@
 import type { Assignment, Worker } from '../worker/worker.js';
 import { takeUpCrash, takeUpUntoldCrash } from './crash-report.js';
 import type { RunBook } from './run-book.js';
-import { noteUnaccounted } from './unaccounted-runs.js';
+import { trackUnaccountedRuns } from './unaccounted-runs.js';
 
 /** A worker that refused a start for want of room is left alone this long, in ms: a stop takes about as long. */
 const ROOM_PAUSE_MS = 300;
@@ -35,7 +35,7 @@
 /** Takes up one contact. True if it may let something start or stop; most tell of progress only. */
 export function takeUpContact(book: RunBook, worker: Worker, contact: CellContact): boolean {
   const earlier = worker.runner;
-  const wasThere = book.fleet.isPlaceable(worker);
+  const wasThere = book.fleet.isSchedulable(worker);
   const earlierLife = earlier?.id;
   const runsBefore = worker.assignments.size;
   worker.noteContact(book.now(), contact.runner);
@@ -103,17 +103,17 @@
     .filter((assignment) => book.orders.lacksTicket(assignment))
     .forEach((assignment) => book.stop(assignment, 'ticket expired'));
   const listed = [...contact.running, ...contact.inProgress].filter(
-    (run) => !book.orders.mayGoOn(assignmentOf(worker, run)),
+    (run) => !book.orders.mayContinue(assignmentOf(worker, run)),
   );
   const wanted = unstarted.filter((assignment) => book.orders.isWanted(assignment));
-  const ordered = wanted.filter((assignment) => book.orders.mayOrder(assignment, worker));
+  const ordered = wanted.filter((assignment) => book.orders.mayOrderStart(assignment, worker));
   const starts = ordered.map((assignment): StartOrder => book.orders.orderFor(assignment));
   // Not listed and not to start: barred there, so that no late call starts it. Also of a job that is over, as nothing else would
   // ever ask what became of the run: a member of a gang that others' ends completed would keep its room for good.
   const barred = unstarted.filter((each) => !wanted.includes(each)).map(toRunName);
   const stops = [...listed, ...barred].map(({ task, run }) => ({ task, run }));
   // Neither told of nor ordered anything.
-  noteUnaccounted(
+  trackUnaccountedRuns(
     book,
     worker,
     wanted.filter((each) => !ordered.includes(each)),
--- a/packages/cell/src/owner/disturbed-fleet.steps.ts
+++ b/packages/cell/src/owner/fleet-disturbances.steps.ts
@@ -7,18 +7,18 @@
 
 const ACCELERATORS = 8;
 
-/** How long the time of day is off, in ms. */
-const OFF_MS = 1500;
+/** How long the wall clock is off. */
+const CLOCK_OFF_MS = 1500;
 
 Given(
-  'the connections of the next {int} starts on each worker are reset, each second after the start',
+  'the connections of the next {int} starts on each worker are reset, every second one after its start',
   function (this: CellSteps, count: number) {
     cellOf(this).workers.forEach(({ runner }) => Object.assign(runner, { resetStarts: count }));
   },
 );
 
 When(
-  'a job of {int} tasks that take 3 s is handed in and all that fit have begun',
+  'a job of {int} tasks that take 3 s is submitted and all that fit have started',
   async function (this: CellSteps, tasks: number) {
     await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 3000 } });
     const [worker] = cellOf(this).workers;
@@ -31,7 +31,7 @@
 });
 
 When(
-  'a job of {int} occurrences, one each {int} ms, is handed in',
+  'a job of {int} occurrences, one every {int} ms, is submitted',
   async function (this: CellSteps, count: number, everyMs: number) {
     const schedule = { count, everyMs, firstAtMs: Date.now() + everyMs };
     await handIn(this, { schedule, spec: { workMs: 100 } });
@@ -39,13 +39,13 @@
 );
 
 When(
-  'the time of day jumps by {int} ms after the second and back again',
+  'the wall clock jumps by {int} ms after the second start, and later back',
   { timeout: 10_000 },
   async function (this: CellSteps, aheadMs: number) {
     const cell = cellOf(this);
     assert.ok(await eventually(() => cell.starts(jobOf(this)).length >= 2));
     cell.clock.aheadMs = aheadMs;
-    await pause(OFF_MS);
+    await pause(CLOCK_OFF_MS);
     cell.clock.aheadMs = 0;
   },
 );
@@ -56,7 +56,7 @@
   assert.ok(await eventually(() => (joined.runner.life?.running().length ?? 0) > 0, 1000));
 });
 
-Then('no task of it ran on two workers, or twice at a time', function (this: CellSteps) {
+Then('none of its tasks ran more than once', function (this: CellSteps) {
   const starts = cellOf(this).starts(jobOf(this));
   const tasks = starts.map(({ task }) => task);
   assert.deepEqual([...new Set(tasks)], tasks);
@@ -66,6 +66,6 @@
   const occurrences = cellOf(this)
     .starts(jobOf(this))
     .map(({ task }) => Number(task.split('.')[1]));
-  // Two that are due at once may begin in any order.
+  // Occurrences that are due at the same time may start in any order.
   assert.deepEqual(occurrences.sort(), [0, 1, 2, 3]);
 });
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -1,4 +1,4 @@
-/** The workers of a cell, and when what was given to one that is out of contact is surely over. */
+/** The workers of a cell: which may be given tasks, and whose leases have certainly expired. */
 import type { Clock } from '@zincspan/core';
 import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
 import { FRESH_RUNNER_MS } from '../job/crash-record.js';
@@ -6,8 +6,8 @@
 import { Worker, type Assignment } from '../worker/worker.js';
 import { Room } from '../placing/room.js';
 
-/** Nothing is placed on a worker that was out of contact for longer, in ms: two missed contacts. */
-const PLACE_WITHIN_MS = 2200;
+/** Nothing is placed on a worker whose last contact is older: it has missed two. */
+const MAX_CONTACT_AGE_MS = 2200;
 
 /** Workers by VM. */
 export class Fleet {
@@ -17,29 +17,30 @@
 
   readonly #evacuations: Evacuations;
 
-  /** Until then a worker that hasn't been in contact may keep tasks by an earlier owner's authority. */
-  readonly #earlierGrantsEndAt: number;
+  /** Until then a worker that has not contacted this owner may still run tasks under a previous owner's lease. */
+  readonly #previousLeasesEndAt: number;
 
   constructor({
     clock,
     evacuations,
     leaseMs,
-    earlierGrantMs,
+    previousOwnerGrantMs,
   }: {
     clock: Clock;
     evacuations: Evacuations;
     leaseMs: number;
-    /** How long an earlier owner may still have given authority. */
-    earlierGrantMs: number;
+    /** How long a previous owner may still have granted leases. */
+    previousOwnerGrantMs: number;
   }) {
     this.#clock = clock;
     this.#evacuations = evacuations;
-    this.#earlierGrantsEndAt = clock.now() + earlierGrantMs + leaseMs * SLOW_CLOCK + LEASE_SLACK_MS;
+    this.#previousLeasesEndAt =
+      clock.now() + previousOwnerGrantMs + leaseMs * SLOW_CLOCK + LEASE_SLACK_MS;
   }
 
   get(vm: string): Worker {
-    const known = this.#workers.get(vm);
-    if (known !== undefined) return known;
+    const existing = this.#workers.get(vm);
+    if (existing !== undefined) return existing;
     const worker = new Worker(vm);
     this.#workers.set(vm, worker);
     return worker;
@@ -53,36 +54,36 @@
     this.get(vm).assignments.set(assignment.name, assignment);
   }
 
-  /** Workers with a run of these jobs, or with an end of theirs that waits to be confirmed. */
-  concernedBy(jobIds: ReadonlySet<string>): Worker[] {
+  /** Workers with a run of these jobs, or with an end of such a run that has not been confirmed yet. */
+  workersOfJobs(jobIds: ReadonlySet<string>): Worker[] {
     return [...this.#workers.values()].filter((worker) => {
       const hasRun = [...worker.assignments.values()].some(({ jobId }) => jobIds.has(jobId));
       return hasRun || worker.hasPendingEndOf(jobIds);
     });
   }
 
-  /** Workers whose leases have surely ended although something was given to them. */
-  lost(): Worker[] {
+  /** Workers with assignments whose leases have certainly expired. */
+  withExpiredLeases(): Worker[] {
     const now = this.#clock.now();
     return [...this.#workers.values()].filter((worker) => {
       if (worker.assignments.size === 0) return false;
-      return now > (worker.leaseEndsAt ?? this.#earlierGrantsEndAt);
+      return now > (worker.leaseEndsAt ?? this.#previousLeasesEndAt);
     });
   }
 
-  /** It may be given something now. */
-  isPlaceable(worker: Worker): boolean {
-    return !this.isEvacuated(worker) && isPlaceable(worker, this.#clock.now());
+  /** True if tasks may be placed on the worker now. */
+  isSchedulable(worker: Worker): boolean {
+    return !this.isEvacuated(worker) && isAvailable(worker, this.#clock.now());
   }
 
-  /** The operator wants nothing more to start in its failure domain. */
+  /** True if the operator has evacuated the worker's failure domain. */
   isEvacuated({ runner }: Worker): boolean {
     return runner !== undefined && this.#evacuations.isEvacuated(runner.failureDomain);
   }
 
-  /** A durable start may be ordered there now: what is known of evacuations is young enough. */
-  mayOrder({ runner }: Worker): boolean {
-    return this.#evacuations.mayOrder(runner?.failureDomain ?? '', this.#clock.now());
+  /** True if a durable start may be ordered there now: the evacuation state is recent and doesn't exclude it. */
+  mayOrderStart({ runner }: Worker): boolean {
+    return this.#evacuations.mayOrderStart(runner?.failureDomain ?? '', this.#clock.now());
   }
 
   /** Racks in evacuated failure domains. */
@@ -91,24 +92,24 @@
     return new Set(evacuated.map(({ rack }) => rack));
   }
 
-  /** Room on all workers that may be given something now. */
-  rooms(): Room[] {
+  /** Free capacity on all schedulable workers. */
+  availableWorkers(): Room[] {
     const now = this.#clock.now();
     return [...this.#workers.values()]
-      .filter((worker) => !this.isEvacuated(worker) && isPlaceable(worker, now))
-      .map((worker) => toRoom(worker, now));
+      .filter((worker) => !this.isEvacuated(worker) && isAvailable(worker, now))
+      .map((worker) => toAvailableWorker(worker, now));
   }
 }
 
-function isPlaceable({ runner, contactAt, avoidUntil, health }: Worker, now: number): boolean {
+function isAvailable({ runner, contactAt, avoidUntil, health }: Worker, now: number): boolean {
   if (runner === undefined || runner.draining || !runner.reachable) return false;
   if (health.isClosed(now)) return false;
-  return now - contactAt < PLACE_WITHIN_MS && now >= avoidUntil;
+  return now - contactAt < MAX_CONTACT_AGE_MS && now >= avoidUntil;
 }
 
-function toRoom(worker: Worker, now: number): Room {
+function toAvailableWorker(worker: Worker, now: number): Room {
   const { vm, rack, runner } = worker;
-  const young = worker.youngRuns(now);
+  const recentRuns = worker.youngRuns(now);
   return new Room({
     vm,
     runner: runner?.id ?? '',
@@ -118,8 +119,8 @@
     free: worker.free(),
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
     suspicion: worker.health.suspicion(now),
-    youngJobs: new Set(young.map(({ jobId }) => jobId)),
-    trialOf: young.find(({ isOnTrial }) => isOnTrial)?.jobId,
+    youngJobs: new Set(recentRuns.map(({ jobId }) => jobId)),
+    trialOf: recentRuns.find(({ isOnTrial }) => isOnTrial)?.jobId,
     isCold: worker.isCold(now),
     isFresh: now - worker.lifeSince < FRESH_RUNNER_MS,
   });
--- a/packages/cell/src/owner/wanted-groups.steps.ts
+++ b/packages/cell/src/owner/pending-groups.steps.ts
@@ -3,9 +3,9 @@
 import type { Step } from '../job/submission.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import type { OwnedJob } from './owned-job.js';
-import { wantedGroups, type RackPatience } from './wanted-groups.js';
+import { pendingGroups, type RackWaitPolicy } from './pending-groups.js';
 
-interface WantedSteps {
+interface PendingGroupSteps {
   job: OwnedJob;
   now: number;
   expectedMs: number;
@@ -15,22 +15,22 @@
   return testOwnedJob(testSubmission({ steps: [step] }));
 }
 
-function wantsOneRack(
-  { job, now, expectedMs }: WantedSteps,
-  patience: Pick<RackPatience, 'isBusy' | 'claim'>,
+function waitsForOneRack(
+  { job, now, expectedMs }: PendingGroupSteps,
+  rackWait: Pick<RackWaitPolicy, 'isBusy' | 'isGuaranteed'>,
 ): boolean {
-  const [wanted] = wantedGroups(job, now, {
-    ...patience,
+  const [pending] = pendingGroups(job, now, {
+    ...rackWait,
     evacuatedRacks: new Set(),
     expectedMs: () => expectedMs,
   });
-  assert.ok(wanted);
-  return wanted.group.oneRack;
+  assert.ok(pending);
+  return pending.group.oneRack;
 }
 
 Given(
-  'a task that wants the rack of its data and has just become ready',
-  function (this: WantedSteps) {
+  'a task that prefers the rack of its data and has just become ready',
+  function (this: PendingGroupSteps) {
     this.job = newJob(testStep({ preferredRack: 'r1' }));
     this.now = 0;
     this.expectedMs = 5000;
@@ -39,20 +39,20 @@
 
 Then(
   /^it (waits|doesn't wait) for that rack while rack (\w+) is evacuated$/,
-  function (this: WantedSteps, verdict: string, rack: string) {
-    const [wanted] = wantedGroups(this.job, this.now, {
+  function (this: PendingGroupSteps, verdict: string, rack: string) {
+    const [pending] = pendingGroups(this.job, this.now, {
       isBusy: false,
-      claim: false,
+      isGuaranteed: false,
       evacuatedRacks: new Set([rack]),
       expectedMs: () => this.expectedMs,
     });
-    assert.equal(wanted?.group.rack, verdict === 'waits' ? 'r1' : undefined);
+    assert.equal(pending?.group.rack, verdict === 'waits' ? 'r1' : undefined);
   },
 );
 
 Given(
   'a gang expected to take {int} s that has waited {int} s for its rack',
-  function (this: WantedSteps, expectedS: number, waitedS: number) {
+  function (this: PendingGroupSteps, expectedS: number, waitedS: number) {
     this.job = newJob(testStep({ tasks: 2, gang: true, rackSensitive: true }));
     this.job.readySince.set('0.0', 0);
     this.now = waitedS * 1000;
@@ -61,10 +61,10 @@
 );
 
 Given(
-  /^a (step|gang|step with 1 task to a worker) of 4 tasks, under the second of which a runner crashed( and which is done)?$/,
-  function (this: WantedSteps, kind: string, done: string | null) {
-    const bound = kind.startsWith('step with') ? { maxPerWorker: 1 } : {};
-    this.job = newJob(testStep({ tasks: 4, gang: kind === 'gang', ...bound }));
+  /^a (step|gang|step with 1 task to a worker) of 4 tasks, the second of which ran when its runner crashed( and is done)?$/,
+  function (this: PendingGroupSteps, kind: string, done: string | null) {
+    const limit = kind.startsWith('step with') ? { maxPerWorker: 1 } : {};
+    this.job = newJob(testStep({ tasks: 4, gang: kind === 'gang', ...limit }));
     const { progress } = this.job;
     const tasks = [0, 1, 2, 3].map((index) => ({ occurrence: 0, step: 0, index }));
     const run = progress.startRuns(tasks.map((ref) => ({ ref, vm: 'vm', runner: 'life' })));
@@ -81,15 +81,15 @@
 );
 
 Then(
-  /^the groups that may crash their runner are (.*), and the others (.*)$/,
-  function (this: WantedSteps, suspects: string, others: string) {
-    const patience = {
+  /^the groups suspected of crashing their runner are (.*), and the others (.*)$/,
+  function (this: PendingGroupSteps, suspects: string, others: string) {
+    const rackWait = {
       isBusy: false,
-      claim: false,
+      isGuaranteed: false,
       evacuatedRacks: new Set<string>(),
       expectedMs: () => this.expectedMs,
     };
-    const groups = wantedGroups(this.job, this.now, patience).map(({ group }) => group);
+    const groups = pendingGroups(this.job, this.now, rackWait).map(({ group }) => group);
     const list = (isSuspect: boolean): string =>
       groups
         .filter((group) => group.isSuspect === isSuspect)
@@ -101,17 +101,17 @@
 );
 
 Then(
-  /^it (wants one rack|takes any racks) while the service is busy$/,
-  function (this: WantedSteps, what: string) {
-    const oneRack = wantsOneRack(this, { isBusy: true, claim: false });
-    assert.equal(oneRack, what === 'wants one rack');
+  /^it (waits for one rack|accepts any racks) while the service is busy$/,
+  function (this: PendingGroupSteps, what: string) {
+    const oneRack = waitsForOneRack(this, { isBusy: true, isGuaranteed: false });
+    assert.equal(oneRack, what === 'waits for one rack');
   },
 );
 
-Then('it takes any racks while most of the service is idle', function (this: WantedSteps) {
-  assert.equal(wantsOneRack(this, { isBusy: false, claim: false }), false);
+Then('it accepts any racks while most of the service is idle', function (this: PendingGroupSteps) {
+  assert.equal(waitsForOneRack(this, { isBusy: false, isGuaranteed: false }), false);
 });
 
-Then('it takes any racks as a claim', function (this: WantedSteps) {
-  assert.equal(wantsOneRack(this, { isBusy: true, claim: true }), false);
+Then('it accepts any racks if it is guaranteed', function (this: PendingGroupSteps) {
+  assert.equal(waitsForOneRack(this, { isBusy: true, isGuaranteed: true }), false);
 });
--- /dev/null
+++ b/packages/cell/src/owner/placement-pass.ts
@@ -0,0 +1,96 @@
+/** One placement pass over all pending groups: what starts where, and what is preempted for it. Only decides, changes no state. */
+import { placeGroup } from '../placing/fit.js';
+import { RoomLedger } from '../placing/room-ledger.js';
+import type { Group } from '../placing/room.js';
+import { GroupApprovals } from './group-approvals.js';
+import { rankPendingGroups, type RankedGroup } from './ranked-groups.js';
+import type { PlacementInput, PlacementResult } from './placement-types.js';
+import { Reservations } from './reservations.js';
+import { Preemptor } from './preemptor.js';
+import { withoutPlaced, type PendingGroup } from './pending-groups.js';
+
+class PlacementPass {
+  readonly #starts: PlacementResult['starts'] = [];
+
+  readonly #approvalRequests: PlacementResult['approvalRequests'] = [];
+
+  readonly #input: PlacementInput;
+
+  readonly #ledger: RoomLedger;
+
+  readonly #preemptor: Preemptor;
+
+  readonly #reservations: Reservations;
+
+  constructor(input: PlacementInput) {
+    this.#input = input;
+    const stopping = input.runningUnits.filter((unit) => unit.stopping);
+    this.#ledger = new RoomLedger(
+      input.workers,
+      stopping.flatMap(({ members }) => members),
+    );
+    this.#preemptor = new Preemptor(input, this.#ledger);
+    this.#reservations = new Reservations(input.workers, this.#ledger);
+  }
+
+  get result(): PlacementResult {
+    return {
+      starts: this.#starts,
+      preemptions: this.#preemptor.preemptions,
+      approvalRequests: this.#approvalRequests,
+    };
+  }
+
+  place(ranked: RankedGroup): void {
+    if (ranked.pending.job.terms.needsAdvice) this.#placeWithApproval(ranked);
+    else this.#preemptForRest(ranked, this.#startNow(ranked.pending));
+  }
+
+  /** Plans starts for the tasks that fit; returns the rest of the group, or undefined if all fit. */
+  #startNow(pending: PendingGroup): PendingGroup | undefined {
+    const placements = this.#ledger.place(pending.group);
+    if (placements.length > 0) this.#starts.push({ pending, placements });
+    return withoutPlaced(pending, placements);
+  }
+
+  #preemptForRest(ranked: RankedGroup, rest: PendingGroup | undefined): void {
+    if (rest === undefined) return;
+    const unplaced = this.#preemptor.preemptFor({ ...ranked, pending: rest });
+    if (unplaced !== undefined) this.#reservations.reserveFor({ ...ranked, pending: unplaced });
+  }
+
+  /** Places the group only on runners that the placement advisor approved and whose tickets are still valid. */
+  #placeWithApproval(ranked: RankedGroup): void {
+    const { pending } = ranked;
+    const ready = this.#approvalsFor(pending.group).restrictTo('ready');
+    const rest = this.#startNow({ ...pending, group: ready });
+    if (rest === undefined) return;
+    const approvals = this.#approvalsFor({ ...rest.group, avoided: pending.group.avoided });
+    const approved = approvals.restrictTo('ready', 'approved');
+    const trial = placeGroup(
+      approved,
+      this.#ledger.free.map((worker) => worker.copy()),
+    );
+    const request =
+      approvals.renewalRequest(new Set(trial.map(({ vm }) => vm))) ?? approvals.approvalRequest();
+    if (request === undefined) {
+      this.#preemptForRest(ranked, { ...rest, group: approved });
+      return;
+    }
+    this.#approvalRequests.push(request);
+    // Reserves the capacity: the group starts there as soon as it has its tickets.
+    this.#ledger.place(approved);
+  }
+
+  #approvalsFor(group: Group): GroupApprovals {
+    const { approvals: cache, now, workers } = this.#input;
+    return new GroupApprovals({ group, workers, cache, now });
+  }
+}
+
+/** Plans one pass. */
+export function planPlacement(input: PlacementInput): PlacementResult {
+  const pass = new PlacementPass(input);
+  rankPendingGroups(input).forEach((ranked) => pass.place(ranked));
+  return pass.result;
+}
--- /dev/null
+++ b/packages/cell/src/owner/placement-types.ts
@@ -0,0 +1,68 @@
+/** Input and result of a placement pass. */
+import type { ApprovalCache } from '../advice/approval-cache.js';
+import type { ApprovalRequest } from '../advice/approval-requester.js';
+import type { DurationBook } from '../placing/duration-book.js';
+import type { Victim } from '../placing/reclaim.js';
+import type { Placed, Room } from '../placing/room.js';
+import type { Assignment } from '../worker/worker.js';
+import type { OwnedJob } from './owned-job.js';
+import type { QueueMeanWork } from './urgency-factors.js';
+import type { PendingGroup } from './pending-groups.js';
+
+/** A single run or a whole gang, with what is needed to choose which units to preempt. */
+export interface RunningUnit extends Victim {
+  job: OwnedJob;
+  assignments: readonly Assignment[];
+  /** Already being stopped: its capacity will become free. */
+  stopping: boolean;
+  /** Never preempted: covered by its account's guarantee, or a long-running task that its step cannot spare. */
+  isProtected: boolean;
+}
+
+/** Time limits for starting guaranteed jobs, in ms. */
+export interface ReclaimBounds {
+  /** From a job's acceptance to the start of its first step. */
+  reclaimMs: number;
+  /** Longest time that a runner takes to stop a run. */
+  stopMs: number;
+}
+
+/** State of the cell that a pass decides on. */
+export interface PlacementInput {
+  jobs: readonly OwnedJob[];
+  guaranteedJobs: ReadonlySet<OwnedJob>;
+  workers: readonly Room[];
+  /** Racks of evacuated failure domains: nothing starts there for now. */
+  evacuatedRacks: ReadonlySet<string>;
+  runningUnits: readonly RunningUnit[];
+  queueMeans: QueueMeanWork;
+  durations: DurationBook;
+  bounds: ReclaimBounds;
+  /** Monotonic, in ms. */
+  now: number;
+  /** Time of day, in ms. */
+  wallMs: number;
+  approvals: ApprovalCache;
+  /** True once all live workers should have contacted the owner. Before that nothing is preempted, as another worker may have room. */
+  allWorkersKnown: boolean;
+}
+
+/** A group to be started, and where. */
+export interface PlannedStart {
+  pending: PendingGroup;
+  placements: Placed[];
+}
+
+/** A unit to be stopped, and the job that gets its capacity. */
+export interface Preemption {
+  unit: RunningUnit;
+  forJob: OwnedJob;
+}
+
+/** Decisions of a pass. */
+export interface PlacementResult {
+  starts: PlannedStart[];
+  preemptions: Preemption[];
+  /** Requests to the placement advisor, the most urgent first. */
+  approvalRequests: ApprovalRequest[];
+}
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -173,7 +173,7 @@
     if (this.#stopped) return;
     this.#ctx.metrics.timing('progress.write', this.#ctx.clock.now() - sentAt);
     if (result.outcome === 'done') {
-      this.#evacuations.noteConfirmed(startsIn, sentAt);
+      this.#evacuations.applyConfirmedWrite(startsIn, sentAt);
       this.#noteWritten(jobs, () => result.version);
       this.#noteAccepted(acceptances, result.version);
     } else if (result.outcome === 'conflict') {
@@ -217,7 +217,7 @@
     return {
       expected: [
         { ...OWNER_KEY, version: this.#ownerVersion },
-        ...startsIn.map((failureDomain) => this.#evacuations.expectedRow(failureDomain)),
+        ...startsIn.map((failureDomain) => this.#evacuations.expectedAbsentRow(failureDomain)),
         ...expected,
         ...this.#expectedBy(acceptances),
       ],
--- /dev/null
+++ b/packages/cell/src/owner/ranked-groups.ts
@@ -0,0 +1,50 @@
+/** Ranks the pending groups of all jobs, the most urgent first. */
+import { byUrgency, type Standing } from '../placing/order.js';
+import type { Room } from '../placing/room.js';
+import type { PlacementInput } from './placement-types.js';
+import { expectedDurations, urgencyFactorsOf } from './urgency-factors.js';
+import { pendingGroups, type PendingGroup } from './pending-groups.js';
+
+/** A pending group with the inputs that decide its rank. */
+export interface RankedGroup {
+  pending: PendingGroup;
+  factors: Standing;
+}
+
+/** Pending groups of all jobs in placement order. */
+export function rankPendingGroups(input: PlacementInput): RankedGroup[] {
+  const { jobs, guaranteedJobs, evacuatedRacks, queueMeans, durations, now, wallMs } = input;
+  const busy = busyServices(input.workers);
+  return jobs
+    .flatMap((job) =>
+      pendingGroups(job, now, {
+        isBusy: busy.has(job.terms.service),
+        isGuaranteed: guaranteedJobs.has(job),
+        evacuatedRacks,
+        expectedMs: expectedDurations(job, durations),
+      }),
+    )
+    .map((pending) => ({
+      pending,
+      factors: urgencyFactorsOf(pending.job, {
+        isGuaranteed: guaranteedJobs.has(pending.job),
+        wallMs,
+        queueMeans,
+        durations,
+        occurrence: pending.group.occurrence,
+      }),
+    }))
+    .sort((a, b) => byUrgency(a.factors, b.factors));
+}
+
+/** Services with at least half of their accelerators in use. */
+function busyServices(workers: readonly Room[]): Set<string> {
+  const services = [...new Set(workers.map(({ service }) => service))];
+  const isBusy = (service: string): boolean => {
+    const ofService = workers.filter((worker) => worker.service === service);
+    const free = ofService.reduce((sum, worker) => sum + worker.free.accelerators, 0);
+    const capacity = ofService.reduce((sum, worker) => sum + worker.capacity.accelerators, 0);
+    return free * 2 <= capacity;
+  };
+  return new Set(services.filter(isBusy));
+}
--- a/packages/cell/src/owner/reservations.ts
+++ b/packages/cell/src/owner/reservations.ts
@@ -1,49 +1,49 @@
-/** Workers that are kept free for large groups, so that small tasks don't fill them for ever. */
+/** Reserves workers for large groups, so that small tasks don't starve them. */
 import { urgencyOf } from '../placing/order.js';
 import type { RoomLedger } from '../placing/room-ledger.js';
 import { fits, isEligible, type Room } from '../placing/room.js';
-import type { Candidate } from './candidates.js';
-import type { WantedGroup } from './wanted-groups.js';
+import type { RankedGroup } from './ranked-groups.js';
+import type { PendingGroup } from './pending-groups.js';
 
-/** Groups that found no room and for which room is kept: beyond these, keeping it would leave too much idle. */
-const MOST_RESERVATIONS = 2;
+/** Groups per pass for which capacity is reserved: more reservations would leave too much idle. */
+const MAX_RESERVATIONS = 2;
 
 /** Reservations of one pass. */
 export class Reservations {
-  readonly #rooms: readonly Room[];
+  readonly #workers: readonly Room[];
 
   readonly #ledger: RoomLedger;
 
   #count = 0;
 
-  constructor(rooms: readonly Room[], ledger: RoomLedger) {
-    this.#rooms = rooms;
+  constructor(workers: readonly Room[], ledger: RoomLedger) {
+    this.#workers = workers;
     this.#ledger = ledger;
   }
 
-  /** Closes the workers that are nearest to having its room. */
-  keepFor({ wanted, standing }: Candidate): void {
-    if (!isLarge(wanted, this.#rooms) || urgencyOf(standing) <= 0) return;
-    if (this.#count >= MOST_RESERVATIONS) return;
-    const { group } = wanted;
-    const hosts = this.#ledger.free
-      .filter((room) => isEligible(group, room) && fits(room.capacity, group.demand) > 0)
+  /** Closes the workers with most free accelerators to others in this pass, as many as the group needs. */
+  reserveFor({ pending, factors }: RankedGroup): void {
+    if (!isLarge(pending, this.#workers) || urgencyOf(factors) <= 0) return;
+    if (this.#count >= MAX_RESERVATIONS) return;
+    const { group } = pending;
+    const candidates = this.#ledger.free
+      .filter((worker) => isEligible(group, worker) && fits(worker.capacity, group.demand) > 0)
       .sort((a, b) => b.free.accelerators - a.free.accelerators);
     let missing = group.indexes.length;
-    const kept = hosts.filter((room) => {
+    const reserved = candidates.filter((worker) => {
       if (missing <= 0) return false;
-      missing -= fits(room.capacity, group.demand);
+      missing -= fits(worker.capacity, group.demand);
       return true;
     });
     if (missing > 0) return;
     this.#count += 1;
-    this.#ledger.close(kept.map(({ vm }) => vm));
+    this.#ledger.close(reserved.map(({ vm }) => vm));
   }
 }
 
-/** A gang, or tasks that need more than half of a worker: what small tasks could starve. */
-function isLarge({ group }: WantedGroup, rooms: readonly Room[]): boolean {
+/** True for a gang, or for tasks that need more than half of a worker: small tasks could starve these. */
+function isLarge({ group }: PendingGroup, workers: readonly Room[]): boolean {
   if (group.gang && group.indexes.length > 1) return true;
-  const largest = Math.max(0, ...rooms.map(({ capacity }) => capacity.accelerators));
+  const largest = Math.max(0, ...workers.map(({ capacity }) => capacity.accelerators));
   return group.demand.accelerators > largest / 2;
 }
--- a/packages/cell/src/owner/run-book.ts
+++ b/packages/cell/src/owner/run-book.ts
@@ -1,6 +1,6 @@
 /** The owner's books of one term: jobs, workers, and every run that may exist. All changes of progress pass through it. */
 import type { ProcessContext } from '@zincspan/core';
-import type { AdviceBook } from '../advice/advice-book.js';
+import type { ApprovalCache } from '../advice/approval-cache.js';
 import { isSuspect } from '../job/crash-record.js';
 import type { RunCrash, RunEnd } from '../job/progress.js';
 import type { Step } from '../job/submission.js';
@@ -10,10 +10,10 @@
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { Fleet } from './fleet.js';
 import type { OwnedJob } from './owned-job.js';
-import type { Start } from './pass-input.js';
+import type { PlannedStart } from './placement-types.js';
 import { RunStopper } from './run-stopper.js';
 import { StartOrders } from './start-orders.js';
-import { durationsOf, roomDemand } from './standings.js';
+import { expectedDurations, reservedDemand } from './urgency-factors.js';
 
 /** Checkpoints are written this often, in ms: a power failure of all machines costs what came since. */
 const KEEP_CHECKPOINTS_MS = 1500;
@@ -59,7 +59,7 @@
   }: {
     ctx: ProcessContext;
     fleet: Fleet;
-    advice: AdviceBook;
+    advice: ApprovalCache;
     durations: DurationBook;
     events: RunBookEvents;
   }) {
@@ -67,7 +67,7 @@
     this.fleet = fleet;
     this.orders = new StartOrders({
       jobs: this.jobs,
-      advice,
+      approvals: advice,
       fleet,
       now: () => this.now(),
     });
@@ -113,7 +113,7 @@
   }
 
   /** Writes runs down for what a pass has placed. */
-  start({ wanted, placed }: Start): void {
+  start({ pending: wanted, placements: placed }: PlannedStart): void {
     const { job, group } = wanted;
     const { occurrence, step } = group;
     // Single tasks have run numbers of their own.
@@ -161,7 +161,7 @@
     });
     job.readySince.delete(`${end.ref.occurrence}.${end.ref.step}`);
     if (end.how !== 'done') this.#stopper.stopRestOfGang(job, end);
-    if (job.progress.outcome !== 'open') this.#stopper.stopAll(job, job.progress.outcome);
+    if (job.progress.outcome !== 'open') this.#stopper.stopJob(job, job.progress.outcome);
     return change;
   }
 
@@ -172,7 +172,7 @@
     this.#ctx.metrics.count('run.crashed');
     if (job.progress.outcome !== 'open') {
       this.#ctx.metrics.count('job.given-up');
-      this.#stopper.stopAll(job, 'crashes its runners');
+      this.#stopper.stopJob(job, 'crashes its runners');
     }
     return true;
   }
@@ -185,7 +185,7 @@
 
   /** How long a task of this step is expected to take, in ms. */
   expectedMs(job: OwnedJob, step: Step): number {
-    return durationsOf(job, this.#durations)(step);
+    return expectedDurations(job, this.#durations)(step);
   }
 
   /** What a run's end says of its worker. */
@@ -237,7 +237,7 @@
 
   /** Loses all runs on workers whose leases have surely ended. */
   loseUnreachable(): void {
-    this.fleet.lost().forEach((worker) => {
+    this.fleet.withExpiredLeases().forEach((worker) => {
       const silentMs = Math.round(this.now() - worker.contactAt);
       [...worker.assignments.values()].forEach((assignment) =>
         this.lose(worker, assignment, `no contact for ${silentMs} ms`),
@@ -251,7 +251,7 @@
     if (!job.progress.cancel()) return;
     this.log('job cancelled', { job: job.id });
     this.#changed(job);
-    this.#stopper.stopAll(job, 'cancelled');
+    this.#stopper.stopJob(job, 'cancelled');
   }
 
   /** Asks for the end of a run, and of the rest of its gang. */
@@ -307,7 +307,7 @@
       ref,
       run,
       runner,
-      demand: roomDemand(step),
+      demand: reservedDemand(step),
       change,
       checkpoint: job.progress.findTask(ref)?.checkpoint || checkpoint,
       resumed: checkpoint !== '',
--- a/packages/cell/src/owner/run-stopper.ts
+++ b/packages/cell/src/owner/run-stopper.ts
@@ -1,13 +1,13 @@
-/** Asks for the end of runs: a single one, a gang as a whole, or all of a job. */
+/** Requests the stop of runs: a single run, a whole gang, or all runs of a job. */
 import type { RunEnd } from '../job/progress.js';
 import type { Assignment } from '../worker/worker.js';
 import type { Fleet } from './fleet.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** What is done about a run whose stop is asked for the first time. */
+/** Called once per run, when its stop is first requested. */
 export type OnStop = (assignment: Assignment, vm: string, reason: string) => void;
 
-/** Of one term. */
+/** One instance per ownership term. */
 export class RunStopper {
   readonly #fleet: Fleet;
 
@@ -18,35 +18,37 @@
     this.#onStop = onStop;
   }
 
-  /** All that was given out of this job and isn't known to be over. */
+  /** The job's runs that are not known to have ended. */
   assignmentsOf(jobId: string): Assignment[] {
     return [...this.#fleet.all()].flatMap(({ assignments }) =>
       [...assignments.values()].filter((assignment) => assignment.jobId === jobId),
     );
   }
 
-  /** A run, and the rest of its gang. */
+  /** Stops a run, and with it the rest of its gang. */
   stop(job: OwnedJob, assignment: Assignment, reason: string): void {
     const { ref, run } = assignment;
     const gang = job.submission.steps[ref.step]?.gang ?? false;
-    const members = gang ? this.#membersOf(job, { ref, run }) : [assignment];
+    const members = gang ? this.#gangMembersOf(job, { ref, run }) : [assignment];
     members.forEach((member) => this.#stopOne(member, reason));
   }
 
-  /** A gang works only whole: once one member has ended otherwise, the others are stopped. */
+  /** A gang only works as a whole: once a member has ended without completing its task, the others are stopped. */
   stopRestOfGang(job: OwnedJob, { ref, run }: RunEnd): void {
     const step = job.submission.steps[ref.step];
     if (!step?.gang || job.progress.findTask(ref)?.done) return;
-    this.#membersOf(job, { ref, run }).forEach((other) => this.#stopOne(other, 'gang broken'));
+    this.#gangMembersOf(job, { ref, run }).forEach((other) =>
+      this.#stopOne(other, 'another member of the gang has ended'),
+    );
   }
 
-  /** All runs of a job that is over. Those of one that is completed end by themselves. */
-  stopAll(job: OwnedJob, reason: string): void {
+  /** Stops all runs of a job that has ended. Runs of a completed job end by themselves. */
+  stopJob(job: OwnedJob, reason: string): void {
     if (reason === 'completed') return;
     this.assignmentsOf(job.id).forEach((assignment) => this.#stopOne(assignment, reason));
   }
 
-  #membersOf(job: OwnedJob, { ref, run }: Pick<RunEnd, 'ref' | 'run'>): Assignment[] {
+  #gangMembersOf(job: OwnedJob, { ref, run }: Pick<RunEnd, 'ref' | 'run'>): Assignment[] {
     return this.assignmentsOf(job.id).filter(
       (other) => other.run === run && isSameStep(other, ref),
     );
@@ -62,7 +64,7 @@
   }
 }
 
-/** True if both are tasks of one step of one occurrence. */
+/** True if both are tasks of the same step of the same occurrence. */
 export function isSameStep(
   { ref }: Assignment,
   other: { occurrence: number; step: number },
--- /dev/null
+++ b/packages/cell/src/owner/run-watchdog.ts
@@ -0,0 +1,76 @@
+/** Stops runs that should continue elsewhere: stalled ones, and those on runners that are about to exit. */
+import { standsStill } from '../worker/standstill.js';
+import type { Assignment } from '../worker/worker.js';
+import type { RunBook } from './run-book.js';
+
+/**
+ * Runs that may be stopped late are stopped once a draining runner may exit within this time: heartbeats are 1.5 s apart, and a
+ * stop with its checkpoint takes up to 0.9 s.
+ */
+const STOP_BEFORE_EXIT_MS = 2500;
+
+/**
+ * A run's remaining time is extrapolated from its own progress once it has been observed for this long and has gained this many
+ * percent meanwhile: progress reported by a contact is up to 900 ms old.
+ */
+const MIN_OBSERVED_MS = 2000;
+const MIN_GAIN_PERCENT = 5;
+
+const FULL_PERCENT = 100;
+
+/**
+ * Stops runs that make no progress, and keeps their steps off the worker for a while. Runners that don't answer are skipped, as
+ * their last list of runs is outdated: after a crash each run there would count as a fault of the worker, and two faults close
+ * it for 5 s or more.
+ */
+export function stopStalledRuns(book: RunBook): void {
+  const answering = [...book.fleet.all()].filter(({ runner }) => runner?.reachable);
+  answering.forEach((worker) =>
+    worker.assignments.forEach((assignment) => {
+      const { jobId, ref, name } = assignment;
+      const job = book.jobs.get(jobId);
+      const step = job?.submission.steps[ref.step];
+      if (job === undefined || step === undefined || step.lasting) return;
+      const { estimateMs } = step;
+      if (!standsStill(assignment, { estimateMs, contactAt: worker.contactAt })) return;
+      job.avoid(ref, worker.vm, book.now());
+      book.noteFault(worker, name, 'run stalled');
+      book.stop(assignment, 'run stalled');
+    }),
+  );
+}
+
+/**
+ * Stops runs that would end with their draining runner. Checkpointing and long-running ones are stopped shortly before the runner
+ * exits; the others as soon as they are not expected to finish in time, so that they restart elsewhere.
+ */
+export function stopRunsBeforeDrainEnds(book: RunBook): void {
+  [...book.fleet.all()].forEach((worker) => {
+    if (!worker.runner?.draining) return;
+    const untilExitMs = worker.drainEndsAt - book.now();
+    worker.assignments.forEach((assignment) => {
+      const step = book.jobs.get(assignment.jobId)?.submission.steps[assignment.ref.step];
+      if (step === undefined) return;
+      const mayStopLate = step.checkpointing || step.lasting;
+      const isDue = mayStopLate
+        ? untilExitMs < STOP_BEFORE_EXIT_MS
+        : remainingMs(book, assignment) > untilExitMs;
+      if (isDue) book.stop(assignment, 'runner exits soon');
+    });
+  });
+}
+
+/** Expected remaining time: extrapolated from the run's own progress once that is known, from the queue's task durations before. */
+function remainingMs(book: RunBook, assignment: Assignment): number {
+  const { jobId, ref, percent, firstPercent, runningAt, progressAt } = assignment;
+  const job = book.jobs.get(jobId);
+  const step = job?.submission.steps[ref.step];
+  if (job === undefined || step === undefined) return 0;
+  if (runningAt === undefined) return book.expectedMs(job, step);
+  const gained = percent - firstPercent;
+  const sinceProgressMs = book.now() - progressAt;
+  if (gained < MIN_GAIN_PERCENT || progressAt - runningAt < MIN_OBSERVED_MS) {
+    return Math.max(0, book.expectedMs(job, step) - (book.now() - runningAt));
+  }
+  return ((progressAt - runningAt) * (FULL_PERCENT - percent)) / gained - sinceProgressMs;
+}
--- a/packages/cell/src/owner/occupants.steps.ts
+++ b/packages/cell/src/owner/running-units.steps.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { Given, Then } from '@cucumber/cucumber';
 import { quietContext } from '@zincspan/core';
-import { AdviceBook } from '../advice/advice-book.js';
+import { ApprovalCache } from '../advice/approval-cache.js';
 import { JobProgress } from '../job/progress.js';
 import { DurationBook } from '../placing/duration-book.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { Fleet } from './fleet.js';
-import { findOccupants } from './occupants.js';
+import { findRunningUnits } from './running-units.js';
 import { RunBook } from './run-book.js';
 import { noEvacuations } from '../testing/test-evacuations.support.js';
 
-interface OccupantSteps {
+interface RunningUnitSteps {
   book: RunBook;
 }
 
@@ -22,16 +22,16 @@
   const evacuations = noEvacuations();
   return new RunBook({
     ctx,
-    fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs: 6000, earlierGrantMs: 0 }),
-    advice: new AdviceBook(),
+    fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs: 6000, previousOwnerGrantMs: 0 }),
+    advice: new ApprovalCache(),
     durations: new DurationBook(),
     events: { onChanged: () => undefined, onNews: () => undefined },
   });
 }
 
 Given(
-  'a step of {int} tasks that last, of which {int} may be away and {int} are',
-  function (this: OccupantSteps, tasks: number, mayMiss: number, away: number) {
+  'a step of {int} long-running tasks, of which {int} may be missing and {int} are',
+  function (this: RunningUnitSteps, tasks: number, mayMiss: number, missing: number) {
     const step = testStep({ tasks, lasting: true, mayMiss });
     const submission = testSubmission({ steps: [step] });
     const progress = new JobProgress(submission);
@@ -45,15 +45,15 @@
     this.book = newBook();
     this.book.add(testOwnedJob(submission, { progress, progressVersion: 1 }));
     this.book.assignmentsOf(submission.id).forEach((assignment) => {
-      const isAway = assignment.ref.index < away;
-      Object.assign(assignment, { percent: isAway ? 0 : FULL_PERCENT });
+      const isMissing = assignment.ref.index < missing;
+      Object.assign(assignment, { percent: isMissing ? 0 : FULL_PERCENT });
     });
   },
 );
 
 Given(
-  /^a run of (\d) accelerators that saves (checkpoints|none) and has run for (\d+) s$/,
-  function (this: OccupantSteps, accelerators: string, saves: string, seconds: string) {
+  /^a run of (\d) accelerators that saves (checkpoints|no checkpoints) and has run for (\d+) s$/,
+  function (this: RunningUnitSteps, accelerators: string, saves: string, seconds: string) {
     const demand = { milliCores: 0, memoryMb: 0, accelerators: Number(accelerators) };
     const step = testStep({ demand, checkpointing: saves === 'checkpoints' });
     const submission = testSubmission({ steps: [step] });
@@ -70,18 +70,18 @@
 
 Then(
   /^stopping it loses ([\d.]+) accelerator-seconds$/,
-  function (this: OccupantSteps, expected: string) {
-    const [occupant] = findOccupants(this.book, new Set());
-    assert.ok(occupant);
-    assert.ok(Math.abs(occupant.loss / 1000 - Number(expected)) < 0.2, `${occupant.loss}`);
+  function (this: RunningUnitSteps, expected: string) {
+    const [unit] = findRunningUnits(this.book, new Set());
+    assert.ok(unit);
+    assert.ok(Math.abs(unit.loss / 1000 - Number(expected)) < 0.2, `${unit.loss}`);
   },
 );
 
-Then('{int} of its tasks may be stopped', function (this: OccupantSteps, spared: number) {
-  const occupants = findOccupants(this.book, new Set());
-  const exposed = occupants
+Then('{int} of its tasks may be preempted', function (this: RunningUnitSteps, expected: number) {
+  const units = findRunningUnits(this.book, new Set());
+  const preemptible = units
     .filter(({ isProtected }) => !isProtected)
     .flatMap(({ assignments }) => assignments)
     .filter(({ percent }) => percent === FULL_PERCENT);
-  assert.equal(exposed.length, spared);
+  assert.equal(preemptible.length, expected);
 });
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -1,57 +1,56 @@
-/** All that an owner decides about the jobs of its cell, for one term; no I/O, and time is passed in by the context. */
+/** The decisions of a cell's owner about its jobs during one ownership term. No I/O; time comes from the context's clock. */
 import type { ProcessContext } from '@zincspan/core';
-import { AdviceBook } from '../advice/advice-book.js';
-import type { AdviceQuestion } from '../advice/advice-desk.js';
+import { ApprovalCache } from '../advice/approval-cache.js';
+import type { ApprovalRequest } from '../advice/approval-requester.js';
 import type { CellConfig } from '../config/cell-config.js';
 import type { KnownJob } from '../job/job-view.js';
 import type { EvacuationChange, Evacuations } from '../evacuation/evacuations.js';
-import { withdrawStarts } from '../evacuation/withdrawal.js';
+import { withdrawPendingStarts } from '../evacuation/start-withdrawal.js';
 import { DurationBook } from '../placing/duration-book.js';
 import { Fleet } from './fleet.js';
-import { findOccupants } from './occupants.js';
+import { findRunningUnits } from './running-units.js';
 import { OwnedJob } from './owned-job.js';
-import type { ReclaimBounds } from './pass-input.js';
-import { decidePass } from './placing-pass.js';
+import type { ReclaimBounds } from './placement-types.js';
+import { planPlacement } from './placement-pass.js';
 import { RunBook, type RunBookEvents } from './run-book.js';
-import { evacuate, stopStandstills } from './run-watch.js';
+import { stopRunsBeforeDrainEnds, stopStalledRuns } from './run-watchdog.js';
 import { WaitingReport } from './waiting-report.js';
 import {
-  QueueMeans,
+  QueueMeanWork,
   describeStep,
-  durationsOf,
-  findClaims,
+  expectedDurations,
+  findGuaranteedJobs,
   objectiveMs,
   totalWork,
-} from './standings.js';
+} from './urgency-factors.js';
 
 /**
- * A new owner stops nobody for others for this long, in ms: guards find it within 0.6 s, and room that isn't known yet looks
- * like room that is taken. Claims have 2.7 s to begin.
+ * A new owner preempts nothing for this long: guards find it within 0.6 s, and capacity it hasn't heard of yet looks occupied.
+ * Guaranteed jobs have 2.7 s to start.
  */
-const KNOWS_WORKERS_AFTER_MS = 800;
+const WORKER_DISCOVERY_MS = 800;
 
-/** What a scheduler is made of. */
 export interface SchedulerOptions {
   ctx: ProcessContext;
-  /** Longest authority that a contact gives, in ms. */
+  /** Longest lease that a contact grants, in ms. */
   leaseMs: number;
-  /** How long an earlier owner may still have given authority, in ms. */
-  earlierGrantMs: number;
+  /** How long a previous owner may still have granted leases, in ms. */
+  previousOwnerGrantMs: number;
   reclaim: ReclaimBounds;
   evacuations: Evacuations;
   config: () => CellConfig | undefined;
   events: RunBookEvents;
 }
 
-/** Jobs, workers and what is learned of both, for one term. */
+/** Jobs, workers and what has been learned about both, for one ownership term. */
 export class Scheduler {
   readonly book: RunBook;
 
-  readonly advice = new AdviceBook();
+  readonly approvals = new ApprovalCache();
 
   readonly #options: SchedulerOptions;
 
-  readonly #means = new QueueMeans();
+  readonly #queueMeans = new QueueMeanWork();
 
   readonly #durations = new DurationBook();
 
@@ -61,30 +60,35 @@
 
   constructor(options: SchedulerOptions) {
     this.#options = options;
-    const { ctx, leaseMs, earlierGrantMs, evacuations, events } = options;
+    const { ctx, leaseMs, previousOwnerGrantMs: earlierGrantMs, evacuations, events } = options;
     this.#startedAt = ctx.clock.now();
     this.book = new RunBook({
       ctx,
-      advice: this.advice,
+      advice: this.approvals,
       durations: this.#durations,
-      fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs, earlierGrantMs }),
+      fleet: new Fleet({
+        clock: ctx.clock,
+        evacuations,
+        leaseMs,
+        previousOwnerGrantMs: earlierGrantMs,
+      }),
       events,
     });
   }
 
-  /** Takes a job in, with the runs that an earlier owner wrote down. */
-  add(known: KnownJob): void {
-    const { submission } = known;
-    const job = new OwnedJob(known);
+  /** Adds a job, with the runs that a previous owner has stored. */
+  add(knownJob: KnownJob): void {
+    const { submission } = knownJob;
+    const job = new OwnedJob(knownJob);
     submission.steps.forEach(({ estimateMs }) =>
       this.#durations.noteEstimate(submission.queue, estimateMs),
     );
-    const expectedMs = durationsOf(job, this.#durations);
-    this.#means.note(submission.queue, totalWork(submission.steps, expectedMs));
+    const expectedMs = expectedDurations(job, this.#durations);
+    this.#queueMeans.record(submission.queue, totalWork(submission.steps, expectedMs));
     this.book.add(job);
     if (job.progress.begun) return;
     const { account, queue, acceptedAtMs, steps } = submission;
-    this.book.log('job taken up', {
+    this.book.log('job added to scheduler', {
       job: job.id,
       account,
       queue,
@@ -95,42 +99,44 @@
     });
   }
 
-  /** Failure domains were evacuated or taken back. */
-  noteEvacuations(changes: readonly EvacuationChange[]): void {
-    changes.forEach((change) => this.#noteEvacuation(change));
+  /** Handles failure domains that were evacuated or reopened. */
+  applyEvacuations(changes: readonly EvacuationChange[]): void {
+    changes.forEach((change) => this.#applyEvacuation(change));
   }
 
-  /** One look over everything. Answers what the placement advisor is to be asked, the most urgent first. */
-  pass(): AdviceQuestion[] {
+  /** Runs one scheduling pass. Returns the requests to the placement advisor, the most urgent first. */
+  runPass(): ApprovalRequest[] {
     this.book.loseUnreachable();
-    stopStandstills(this.book);
-    evacuate(this.book);
-    // Also of workers that were not in contact when it was evacuated, as after a change of owner.
-    this.#options.evacuations.all.forEach((each) => withdrawStarts(this.book, each));
+    stopStalledRuns(this.book);
+    stopRunsBeforeDrainEnds(this.book);
+    // Repeated in each pass for workers that were out of contact at the evacuation, such as after a change of owner.
+    this.#options.evacuations.evacuatedDomains.forEach((failureDomain) =>
+      withdrawPendingStarts(this.book, failureDomain),
+    );
     this.book.keepCheckpoints();
     this.book.openDue(this.#options.ctx.clock.wall());
-    this.#refreshTerms();
-    const questions = this.#decide();
-    this.#waitingReport.look(this.book);
+    this.#refreshQueueTerms();
+    const requests = this.#runPlacement();
+    this.#waitingReport.logIfDue(this.book);
     this.book.forgetEnded();
-    this.advice.keepOnly((jobId) => this.book.jobs.has(jobId));
-    return questions;
+    this.approvals.retainJobs((jobId) => this.book.jobs.has(jobId));
+    return requests;
   }
 
-  #noteEvacuation({ failureDomain, isEvacuated, version }: EvacuationChange): void {
+  #applyEvacuation({ failureDomain, isEvacuated, version }: EvacuationChange): void {
     const { ctx, evacuations } = this.#options;
     const knownForMs = Math.round(evacuations.ageMs(this.book.now()));
     ctx.metrics.gauge(`evacuated.${failureDomain}`, isEvacuated ? 1 : 0);
     if (!isEvacuated) {
-      this.book.log('failure domain taken back', { failureDomain, version, knownForMs });
+      this.book.log('failure domain reopened', { failureDomain, version, knownForMs });
       return;
     }
     this.book.jobs.forEach((job) => job.forgetStarts(failureDomain));
-    const runs = withdrawStarts(this.book, failureDomain);
+    const runs = withdrawPendingStarts(this.book, failureDomain);
     this.book.log('failure domain evacuated', { failureDomain, version, knownForMs, ...runs });
   }
 
-  #refreshTerms(): void {
+  #refreshQueueTerms(): void {
     const queues = new Map(this.#options.config()?.queues.map((queue) => [queue.name, queue]));
     this.book.jobs.forEach((job) => {
       const queue = queues.get(job.submission.queue);
@@ -138,33 +144,33 @@
     });
   }
 
-  #decide(): AdviceQuestion[] {
+  #runPlacement(): ApprovalRequest[] {
     const { config, reclaim, ctx } = this.#options;
     const jobs = [...this.book.jobs.values()];
-    const guaranteed = new Map(
+    const guarantees = new Map(
       config()?.accounts.map(({ name, guaranteedAccelerators }) => [name, guaranteedAccelerators]),
     );
-    const claims = findClaims(jobs, (account) => guaranteed.get(account) ?? 0);
-    const { starts, stops, questions } = decidePass({
+    const guaranteedJobs = findGuaranteedJobs(jobs, (account) => guarantees.get(account) ?? 0);
+    const { starts, preemptions, approvalRequests } = planPlacement({
       jobs,
-      claims,
-      rooms: this.book.fleet.rooms(),
+      guaranteedJobs,
+      workers: this.book.fleet.availableWorkers(),
       evacuatedRacks: this.book.fleet.evacuatedRacks(),
-      occupants: findOccupants(this.book, claims),
-      means: this.#means,
+      runningUnits: findRunningUnits(this.book, guaranteedJobs),
+      queueMeans: this.#queueMeans,
       durations: this.#durations,
       bounds: reclaim,
       now: this.book.now(),
       wallMs: ctx.clock.wall(),
-      advice: this.advice,
-      knowsWorkers: this.book.now() - this.#startedAt >= KNOWS_WORKERS_AFTER_MS,
+      approvals: this.approvals,
+      allWorkersKnown: this.book.now() - this.#startedAt >= WORKER_DISCOVERY_MS,
     });
     starts.forEach((start) => this.book.start(start));
-    stops.forEach(({ occupant, forJob }) => {
-      const [first] = occupant.assignments;
-      if (first !== undefined) this.book.stop(first, `room for ${forJob.id}`);
+    preemptions.forEach(({ unit, forJob }) => {
+      const [first] = unit.assignments;
+      if (first !== undefined) this.book.stop(first, `preempted for ${forJob.id}`);
       forJob.noteRoomMade(this.book.now());
     });
-    return questions;
+    return approvalRequests;
   }
 }
--- a/packages/cell/src/owner/start-orders.ts
+++ b/packages/cell/src/owner/start-orders.ts
@@ -1,16 +1,16 @@
-/** What a guard may be told to start, and what may go on: only what is durable, still wanted, and has its ticket. */
+/** Decides which runs a guard may start or continue. A start must be durable, still wanted, and have its ticket. */
 import type { StartOrder } from '@zincspan/core';
-import type { AdviceBook } from '../advice/advice-book.js';
+import type { ApprovalCache } from '../advice/approval-cache.js';
 import { stepName } from '../job/task-name.js';
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { Fleet } from './fleet.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** Orders of one term. */
+/** One instance per ownership term. */
 export class StartOrders {
   readonly #jobs: ReadonlyMap<string, OwnedJob>;
 
-  readonly #advice: AdviceBook;
+  readonly #approvals: ApprovalCache;
 
   readonly #fleet: Fleet;
 
@@ -18,43 +18,43 @@
 
   constructor({
     jobs,
-    advice,
+    approvals,
     fleet,
     now,
   }: {
     jobs: ReadonlyMap<string, OwnedJob>;
-    advice: AdviceBook;
+    approvals: ApprovalCache;
     fleet: Fleet;
     now: () => number;
   }) {
     this.#jobs = jobs;
-    this.#advice = advice;
+    this.#approvals = approvals;
     this.#fleet = fleet;
     this.#now = now;
   }
 
-  /** False of a run that isn't to start any more: its job is over, or another member's end has completed its gang. */
+  /** False for a run that must not start any more: it is being stopped, its job has ended, or another member's end completed its gang. */
   isWanted({ jobId, ref, stopping }: Assignment): boolean {
     const progress = this.#jobs.get(jobId)?.progress;
     if (stopping !== undefined || progress?.outcome !== 'open') return false;
     return !progress.findTask(ref)?.done;
   }
 
-  /** True once its start is written down: before, no order may be given. */
+  /** True once the run's start is stored; no start may be ordered before. */
   isDurable({ jobId, change }: Assignment): boolean {
     return this.#jobs.get(jobId)?.isDurable(change) ?? false;
   }
 
-  /** True if its start may be ordered on this worker now. */
-  mayOrder(assignment: Assignment, worker: Worker): boolean {
-    return this.isDurable(assignment) && this.#fleet.mayOrder(worker);
+  /** True if the run's start may be ordered on this worker now. */
+  mayOrderStart(assignment: Assignment, worker: Worker): boolean {
+    return this.isDurable(assignment) && this.#fleet.mayOrderStart(worker);
   }
 
-  /** True if what runs there should go on. */
-  mayGoOn(assignment: Assignment | undefined): boolean {
+  /** True if a run that is listed as running should continue. */
+  mayContinue(assignment: Assignment | undefined): boolean {
     if (assignment === undefined || assignment.stopping !== undefined) return false;
     const outcome = this.#jobs.get(assignment.jobId)?.progress.outcome;
-    // The other members of a gang that is done end by themselves.
+    // The other members of a completed gang end by themselves.
     return outcome === 'open' || outcome === 'completed';
   }
 
@@ -72,18 +72,18 @@
     };
   }
 
-  /** It was written down for a queue that needs advice, and its ticket has expired since. */
+  /** True if the run's queue needs the placement advisor's approval and its ticket has expired since the run was stored. */
   lacksTicket(assignment: Assignment): boolean {
     if (!this.#jobs.get(assignment.jobId)?.terms.needsAdvice) return false;
     return this.#ticketOf(assignment) === undefined;
   }
 
-  /** The runner didn't take the ticket of this run. */
+  /** Handles a runner's refusal of this run's ticket. */
   noteTicketRefused({ jobId, ref, runner }: Assignment): void {
-    this.#advice.expire(stepName({ jobId, ...ref }), runner);
+    this.#approvals.expireTicket(stepName({ jobId, ...ref }), runner);
   }
 
   #ticketOf({ jobId, ref, runner }: Assignment): string | undefined {
-    return this.#advice.ticket(stepName({ jobId, ...ref }), runner, this.#now());
+    return this.#approvals.ticket(stepName({ jobId, ...ref }), runner, this.#now());
   }
 }
--- a/packages/cell/src/owner/unaccounted-runs.ts
+++ b/packages/cell/src/owner/unaccounted-runs.ts
@@ -1,32 +1,47 @@
 /**
- * Runs that take room on a worker which neither tells of them nor is told to start or stop them. A start that isn't written yet
- * is one for some milliseconds; a run that stays so keeps its room from everybody, so that it has to be seen in the log.
+ * Logs runs that hold capacity on a worker which neither reports them nor is told to start or stop them. A start that isn't stored
+ * yet is in this state for some milliseconds; a run that stays in it blocks its capacity for good, so that it must be visible in
+ * the log.
  */
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { RunBook } from './run-book.js';
 
-/** A run that is so for this long is logged, in ms: a write takes less, also where the store is slow. */
-const TELL_AFTER_MS = 2000;
+/** Runs unaccounted for this long are logged: a write takes less, even on a slow store. */
+const LOG_AFTER_MS = 2000;
 
-/** After a contact: `left` are those runs, all others are accounted for. */
-export function noteUnaccounted(book: RunBook, worker: Worker, left: readonly Assignment[]): void {
+/** Called after a contact. All of the worker's runs that are not in `unaccounted` are accounted for. */
+export function trackUnaccountedRuns(
+  book: RunBook,
+  worker: Worker,
+  unaccounted: readonly Assignment[],
+): void {
   const now = book.now();
   worker.assignments.forEach((assignment) => {
-    // Nearly always there are none.
-    if (assignment.unaccountedSince === undefined || left.includes(assignment)) return;
+    // The usual case: nothing was unaccounted for.
+    if (assignment.unaccountedSince === undefined || unaccounted.includes(assignment)) return;
     Object.assign(assignment, { unaccountedSince: undefined });
   });
-  left.forEach((assignment) => {
+  unaccounted.forEach((assignment) => {
     const since = assignment.unaccountedSince ?? now;
-    const wasTold = assignment.unaccountedTold;
-    const unaccountedTold = wasTold || now - since >= TELL_AFTER_MS;
+    const wasLogged = assignment.unaccountedTold;
+    const unaccountedTold = wasLogged || now - since >= LOG_AFTER_MS;
     Object.assign(assignment, { unaccountedSince: since, unaccountedTold });
-    if (unaccountedTold && !wasTold) tell(book, worker, assignment);
+    if (unaccountedTold && !wasLogged) logUnaccounted(book, worker, assignment);
   });
 }
 
-function tell(book: RunBook, { vm }: Worker, { name, run, runner, jobId }: Assignment): void {
+function logUnaccounted(
+  book: RunBook,
+  { vm }: Worker,
+  { name, run, runner, jobId }: Assignment,
+): void {
   const outcome = book.jobs.get(jobId)?.progress.outcome;
   book.count('run.unaccounted');
-  book.log('run unaccounted for', { vm, task: name, run, runner, outcome });
+  book.log('run holds capacity but its worker does not report it', {
+    vm,
+    task: name,
+    run,
+    runner,
+    outcome,
+  });
 }
--- a/packages/cell/src/owner/standings.ts
+++ b/packages/cell/src/owner/urgency-factors.ts
@@ -1,54 +1,54 @@
-/** What the order of placing needs to know of each job. */
+/** Computes what the placement order needs to know about each job: work, durations, objective and guarantee. */
 import type { StepProgress } from '../job/progress.js';
 import { longestChainMs, type Demand, type Step } from '../job/submission.js';
 import type { DurationBook } from '../placing/duration-book.js';
 import type { Standing } from '../placing/order.js';
 import type { OwnedJob } from './owned-job.js';
 
-/** Cores that count as one accelerator in a job's work: the platform's own weight. */
+/** Cores that count as one accelerator in a job's work, weighted as the platform does. */
 const MILLI_CORES_PER_ACCELERATOR = 8000;
 
-/** Jobs of a queue whose mean work is remembered: the weight of the newest. */
+/** Weight of the newest job in the moving average of a queue's work. */
 const MEAN_WEIGHT = 0.05;
 
-/** Room that a task of this step takes: what fills the rest isn't counted in cores. */
-export function roomDemand(step: Step): Demand {
+/** Capacity that a task of this step reserves. Filler tasks use leftover cores, so that their cores aren't counted. */
+export function reservedDemand(step: Step): Demand {
   return step.fills ? { ...step.demand, milliCores: 0 } : step.demand;
 }
 
-/** Accelerators of a demand, cores counted along. */
-export function acceleratorsOf({ accelerators, milliCores }: Demand): number {
+/** Accelerators of a demand, with its cores converted to accelerators. */
+export function acceleratorEquivalents({ accelerators, milliCores }: Demand): number {
   return accelerators + milliCores / MILLI_CORES_PER_ACCELERATOR;
 }
 
-/** Accelerator-milliseconds of one task that takes this long. */
+/** Work of one task of this duration, in accelerator-ms. */
 function taskWork({ demand }: Step, durationMs: number): number {
-  return acceleratorsOf(demand) * durationMs;
+  return acceleratorEquivalents(demand) * durationMs;
 }
 
-/** Accelerator-milliseconds of all steps once. */
+/** Work of all steps, each counted once, in accelerator-ms. */
 export function totalWork(steps: readonly Step[], expectedMs: (step: Step) => number): number {
   return steps.reduce((sum, step) => sum + step.tasks * taskWork(step, expectedMs(step)), 0);
 }
 
 /**
- * How long a task of each step of the job is expected to take, in ms: as long as one of that step took, and before that
- * what the queue's tasks make of its estimate, which may be off by a factor of three.
+ * Expected duration of a task of each step, in ms: as measured for the step's newest finished task; before that, the estimate
+ * corrected by the durations of the queue's tasks, as estimates may be off by a factor of three.
  */
-export function durationsOf(job: OwnedJob, durations: DurationBook): (step: Step) => number {
+export function expectedDurations(job: OwnedJob, durations: DurationBook): (step: Step) => number {
   return (step) => job.tookMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
 }
 
-/** Most accelerators that the job uses at once if it runs unhindered: those of its widest step. */
-export function acceleratorsNeeded(steps: readonly Step[]): number {
+/** Most accelerators that an unhindered job uses at once: those of its widest step. */
+export function peakAccelerators(steps: readonly Step[]): number {
   return Math.max(...steps.map(({ tasks, demand }) => tasks * demand.accelerators));
 }
 
-/** Mean work of each queue's jobs, over those seen lately. */
-export class QueueMeans {
+/** Moving average of the work per job of each queue. */
+export class QueueMeanWork {
   readonly #means = new Map<string, number>();
 
-  note(queue: string, work: number): void {
+  record(queue: string, work: number): void {
     const mean = this.#means.get(queue);
     this.#means.set(queue, mean === undefined ? work : mean + MEAN_WEIGHT * (work - mean));
   }
@@ -59,12 +59,12 @@
 }
 
 /**
- * From its acceptance a job should take no longer than this, as far as can be told, in ms. Runs that failed count as part of
- * its work, as in the contract: otherwise a gang that has failed once counts as late and comes after all others.
+ * Objective for the time from a job's acceptance to its completion, in ms, by the present estimates. Failed runs count as part of
+ * the work, as in the contract: otherwise a gang that has failed once would count as late and rank after all others.
  */
 export function objectiveMs(job: OwnedJob, durations: DurationBook, occurrence = 0): number {
   const { submission, terms, progress } = job;
-  const expectedMs = durationsOf(job, durations);
+  const expectedMs = expectedDurations(job, durations);
   const steps = progress.occurrences.find(({ index }) => index === occurrence)?.steps ?? [];
   const chainMs = longestChainMs(
     submission.steps,
@@ -73,13 +73,13 @@
   return terms.stretch * chainMs + terms.targetLatencyMs;
 }
 
-/** One after the other, of the gang or of the task that failed most often. */
+/** Failed runs that followed each other: those of the gang, or of the task that failed most often. */
 function failedRuns(step: StepProgress | undefined): number {
   if (step === undefined) return 0;
   return Math.max(step.failures, ...step.tasks.map(({ failures }) => failures));
 }
 
-/** A step in short, for logs: tasks, what each takes, and what restricts it. */
+/** Short form of a step for logs: number of tasks, demand and estimate of each, and constraints. */
 export function describeStep({ tasks, demand, estimateMs, ...step }: Step): string {
   const marks = [
     step.gang ? 'gang' : '',
@@ -94,66 +94,68 @@
   return [`${tasks}x${demand.accelerators}acc/${estimateMs}ms`, ...marks].join('+');
 }
 
-/** Where a job stands at this time of day. */
-export function standingOf(
+/** Ranking inputs of one occurrence of a job at this time of day. */
+export function urgencyFactorsOf(
   job: OwnedJob,
   {
-    claim,
+    isGuaranteed,
     wallMs,
-    means,
+    queueMeans,
     durations,
     occurrence,
   }: {
-    claim: boolean;
+    isGuaranteed: boolean;
     wallMs: number;
-    means: QueueMeans;
+    queueMeans: QueueMeanWork;
     durations: DurationBook;
     occurrence: number;
   },
 ): Standing {
-  const expectedMs = durationsOf(job, durations);
+  const expectedMs = expectedDurations(job, durations);
   const { submission, terms, progress } = job;
   const { schedule, steps } = submission;
   const dueMs =
     schedule === undefined
       ? submission.acceptedAtMs
       : schedule.firstAtMs + occurrence * schedule.everyMs;
-  const left = progress.occurrences.find(({ index }) => index === occurrence)?.steps ?? [];
-  const leftSteps = steps.filter((_, index) => left[index]?.tasks.some(({ done }) => !done));
+  const remaining = progress.occurrences.find(({ index }) => index === occurrence)?.steps ?? [];
+  const remainingSteps = steps.filter((_, index) =>
+    remaining[index]?.tasks.some(({ done }) => !done),
+  );
   const leftWork = steps.reduce((sum, step, index) => {
-    const open = left[index]?.tasks.filter(({ done }) => !done).length ?? 0;
+    const open = remaining[index]?.tasks.filter(({ done }) => !done).length ?? 0;
     return sum + open * taskWork(step, expectedMs(step));
   }, 0);
   return {
     priority: terms.priority,
-    claim,
+    claim: isGuaranteed,
     totalWork: totalWork(steps, expectedMs),
     leftWork,
-    meanWork: means.of(submission.queue),
+    meanWork: queueMeans.of(submission.queue),
     ageMs: Math.max(0, wallMs - dueMs),
     objectiveMs: objectiveMs(job, durations, occurrence),
-    leftChainMs: Math.max(0, ...leftSteps.map(expectedMs)),
+    leftChainMs: Math.max(0, ...remainingSteps.map(expectedMs)),
   };
 }
 
 /**
- * Jobs of priority 0 that their accounts' guarantees cover: in the order of their acceptance, as long as all of them
- * together need no more than is guaranteed.
+ * Jobs of priority 0 covered by their accounts' guarantees, in order of acceptance, as long as all of an account's jobs together
+ * need no more than is guaranteed.
  */
-export function findClaims(
+export function findGuaranteedJobs(
   jobs: readonly OwnedJob[],
   guaranteedOf: (account: string) => number,
 ): Set<OwnedJob> {
   const used = new Map<string, number>();
-  const claims = jobs
+  const guaranteedJobs = jobs
     .filter(({ terms, progress }) => terms.priority === 0 && progress.outcome === 'open')
     .sort((a, b) => a.submission.acceptedAtMs - b.submission.acceptedAtMs)
     .filter(({ submission }) => {
       const { account } = submission;
-      const needed = (used.get(account) ?? 0) + acceleratorsNeeded(submission.steps);
+      const needed = (used.get(account) ?? 0) + peakAccelerators(submission.steps);
       if (needed > guaranteedOf(account)) return false;
       used.set(account, needed);
       return true;
     });
-  return new Set(claims);
+  return new Set(guaranteedJobs);
 }
--- a/packages/cell/src/owner/waiting-report.steps.ts
+++ b/packages/cell/src/owner/waiting-report.steps.ts
@@ -6,14 +6,14 @@
 
 const WHOLE_WORKER = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
 
-When('a job that takes 13 s on all of a worker is handed in', async function (this: CellSteps) {
+When('a job that takes 13 s and a whole worker is submitted', async function (this: CellSteps) {
   const steps = [testStep({ demand: WHOLE_WORKER, estimateMs: 13_000 })];
   await handIn(this, { steps, spec: { workMs: 13_000 } });
   await hasBegun(this);
 });
 
 When(
-  'a gang that needs all {int} workers is handed in',
+  'a gang that needs all {int} workers is submitted',
   async function (this: CellSteps, tasks: number) {
     const steps = [testStep({ tasks, gang: true, demand: WHOLE_WORKER })];
     await handIn(this, { steps, spec: { gangs: { 0: tasks }, workMs: 300 } });
@@ -31,12 +31,12 @@
     accelerators: number,
   ) {
     const gang = this.jobs.at(-1);
-    const told = (): object | undefined =>
+    const findLogged = (): object | undefined =>
       cellOf(this)
-        .logged('group waits')
+        .logged('group is waiting for capacity')
         .find(({ job }) => job === gang);
-    assert.ok(await eventually(() => told() !== undefined, seconds * 1000));
-    const { open, given, unaccounted, ...line } = told() as Record<string, unknown>;
+    assert.ok(await eventually(() => findLogged() !== undefined, seconds * 1000));
+    const { open, given, unaccounted, ...line } = findLogged() as Record<string, unknown>;
     assert.deepEqual([open, given, unaccounted], [3, 0, 0]);
     assert.deepEqual([line.usable, line.free, line.accelerators], [usable, free, accelerators]);
   },
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -1,42 +1,42 @@
-/** Says in the log why groups wait: what the owner believes of the workers, beside what was asked for. */
+/** Logs why groups wait: the state of the workers as the owner knows it, next to what the groups need. */
 import type { Worker } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { RunBook } from './run-book.js';
 
-/** Groups that have waited for less aren't told of, in ms: a busy service makes most wait a while. */
-const TELL_AFTER_MS = 5000;
+/** Groups that have waited for less are not logged: on a busy service most wait a while. */
+const MIN_WAIT_MS = 5000;
 
-/** Pause between two looks, in ms: each goes over the tasks of all open jobs. */
-const LOOK_EVERY_MS = 5000;
+/** Interval between reports: each goes over the tasks of all open jobs. */
+const REPORT_INTERVAL_MS = 5000;
 
-/** Groups told of at a look: those that have waited longest. */
-const MOST_GROUPS = 3;
+/** Groups logged per report: those that have waited longest. */
+const MAX_GROUPS = 3;
 
-interface Waiting {
+interface WaitingStep {
   job: OwnedJob;
   /** `<occurrence>.<step>`. */
   step: string;
   readySince: number;
 }
 
-/** Reports of one term. */
+/** One instance per ownership term. */
 export class WaitingReport {
-  #lookedAt = -Infinity;
+  #reportedAt = -Infinity;
 
-  /** After a pass: what was ready before it and still waits. */
-  look(book: RunBook): void {
+  /** Called after each pass; logs the steps that were ready before it and still wait, once per interval. */
+  logIfDue(book: RunBook): void {
     const now = book.now();
-    if (now - this.#lookedAt < LOOK_EVERY_MS) return;
-    this.#lookedAt = now;
+    if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
+    this.#reportedAt = now;
     const waiting = [...book.jobs.values()]
       .filter(({ progress }) => progress.outcome === 'open')
       .flatMap((job) => waitingSteps(job))
-      .filter(({ readySince }) => now - readySince >= TELL_AFTER_MS)
+      .filter(({ readySince }) => now - readySince >= MIN_WAIT_MS)
       .sort((a, b) => a.readySince - b.readySince);
     if (waiting.length === 0) return;
     const workers = describeWorkers(book);
-    waiting.slice(0, MOST_GROUPS).forEach(({ job, step, readySince }) =>
-      book.log('group waits', {
+    waiting.slice(0, MAX_GROUPS).forEach(({ job, step, readySince }) =>
+      book.log('group is waiting for capacity', {
         job: job.id,
         step,
         waitedMs: Math.round(now - readySince),
@@ -49,13 +49,13 @@
   }
 }
 
-function waitingSteps(job: OwnedJob): Waiting[] {
+function waitingSteps(job: OwnedJob): WaitingStep[] {
   return [...job.readySince]
     .map(([step, readySince]) => ({ job, step, readySince }))
     .filter(({ step }) => describeTasks(job, step).open > 0);
 }
 
-/** Tasks of a step that are neither done nor given to a worker, members of its gang that are, and what each task takes. */
+/** Numbers of tasks of a step that are pending (`open`) and that are assigned to a worker (`given`), and the demand of each task. */
 function describeTasks(job: OwnedJob, key: string): { open: number; given: number; each?: object } {
   const [occurrence = 0, step = 0] = key.split('.').map(Number);
   const tasks = job.progress.findStep({ occurrence, step })?.tasks ?? [];
@@ -67,10 +67,10 @@
   };
 }
 
-/** How many workers may be used, why others may not, and how the accelerators of those that may stand in the books. */
+/** How many workers are usable, why the others are not, and how the owner accounts for the accelerators of the usable ones. */
 function describeWorkers(book: RunBook): object {
   const workers = [...book.fleet.all()];
-  const usable = workers.filter((worker) => book.fleet.isPlaceable(worker));
+  const usable = workers.filter((worker) => book.fleet.isSchedulable(worker));
   const sum = (of: (worker: Worker) => number): number =>
     usable.reduce((total, worker) => total + of(worker), 0);
   return {
@@ -86,7 +86,7 @@
   };
 }
 
-/** Held by runs of which the worker tells nothing. */
+/** Accelerators held by runs that the worker doesn't report. */
 function unaccountedAccelerators({ assignments }: Worker): number {
   return [...assignments.values()]
     .filter(({ unaccountedSince }) => unaccountedSince !== undefined)
--- a/packages/cell/src/testing/test-evacuations.support.ts
+++ b/packages/cell/src/testing/test-evacuations.support.ts
@@ -14,6 +14,6 @@
     source: TEST_EVACUATION_SOURCE,
     staleAfterMs: Infinity,
   });
-  evacuations.noteRead([], 0);
+  evacuations.applyRead([], 0);
   return evacuations;
 }
