--- a/packages/cell/src/evacuation/evacuations.ts
+++ b/packages/cell/src/evacuation/evacuations.ts
@@ -83,8 +83,8 @@
     if (sentAt < this.#fullReadAt) return [];
     this.#fullReadAt = sentAt;
     const found = rows.map((row) => this.#domainOf(row));
-    const names = new Set([...this.#versions.keys(), ...found]);
-    return [...names].flatMap((name) => this.#applyRow(name, rows, sentAt));
+    const domains = new Set([...this.#versions.keys(), ...found]);
+    return [...domains].flatMap((domain) => this.#applyRow(domain, rows, sentAt));
   }
 
   /** Applies the rows found by a write that failed because it expected these failure domains not to be evacuated. */
@@ -93,12 +93,12 @@
     rows: readonly Row[],
     sentAt: number,
   ): EvacuationChange[] {
-    return failureDomains.flatMap((name) => this.#applyRow(name, rows, sentAt));
+    return failureDomains.flatMap((domain) => this.#applyRow(domain, rows, sentAt));
   }
 
   /** Applies the success of a write that expected these failure domains not to be evacuated. */
   applyConfirmedWrite(failureDomains: readonly string[], sentAt: number): void {
-    failureDomains.forEach((name) => this.#confirm(name, sentAt));
+    failureDomains.forEach((domain) => this.#confirm(domain, sentAt));
   }
 
   #applyRow(failureDomain: string, rows: readonly Row[], sentAt: number): EvacuationChange[] {
--- a/packages/cell/src/owner/placement-types.ts
+++ b/packages/cell/src/owner/placement-types.ts
@@ -43,7 +43,7 @@
   /** Time of day, in ms. */
   wallMs: number;
   approvals: ApprovalCache;
-  /** True once all live workers should have contacted the owner. Before that nothing is preempted, as another worker may have room. */
+  /** False while live workers may not have contacted the owner yet: nothing is preempted, as they may have free capacity. */
   allWorkersKnown: boolean;
 }
 
--- a/packages/cell/src/owner/preemptor.ts
+++ b/packages/cell/src/owner/preemptor.ts
@@ -47,7 +47,7 @@
   preemptFor({ pending, factors }: RankedGroup): PendingGroup | undefined {
     if (!factors.claim && factors.priority > 0) return pending;
     // Needed even while it may not preempt: the runs stopped for it earlier end one by one.
-    const unplaced = this.#reserveComing(pending);
+    const unplaced = this.#reserveProjected(pending);
     if (unplaced === undefined) return undefined;
     if (!this.#input.allWorkersKnown) return unplaced;
     if (!factors.claim && !this.#mayPreempt(pending.job, factors)) return unplaced;
@@ -62,11 +62,11 @@
       this.preemptions.push({ unit, forJob: pending.job });
       this.#ledger.noteStopping(unit.members);
     });
-    return this.#reserveComing(unplaced);
+    return this.#reserveProjected(unplaced);
   }
 
   /** Reserves capacity that is becoming free; returns the tasks left without, undefined if none are. */
-  #reserveComing(pending: PendingGroup): PendingGroup | undefined {
+  #reserveProjected(pending: PendingGroup): PendingGroup | undefined {
     return withoutPlaced(pending, this.#ledger.promise(pending.group));
   }
 
--- a/packages/cell/src/owner/running-units.ts
+++ b/packages/cell/src/owner/running-units.ts
@@ -21,7 +21,7 @@
   assignments: Assignment[];
 }
 
-/** Runs of guaranteed jobs are protected from preemption. */
+/** Units of all workers. Those of guaranteed jobs are protected from preemption. */
 export function findRunningUnits(
   book: RunBook,
   guaranteedJobs: ReadonlySet<OwnedJob>,
--- a/packages/cell/src/owner/start-orders.ts
+++ b/packages/cell/src/owner/start-orders.ts
@@ -33,7 +33,7 @@
     this.#now = now;
   }
 
-  /** False for a run that must not start any more: it is being stopped, its job has ended, or another member's end completed its gang. */
+  /** False for a run that must not start any more: it is being stopped, its job is over, or another member completed its gang. */
   isWanted({ jobId, ref, stopping }: Assignment): boolean {
     const progress = this.#jobs.get(jobId)?.progress;
     if (stopping !== undefined || progress?.outcome !== 'open') return false;
--- a/packages/cell/src/owner/urgency-factors.ts
+++ b/packages/cell/src/owner/urgency-factors.ts
@@ -11,7 +11,7 @@
 /** Weight of the newest job in the moving average of a queue's work. */
 const MEAN_WEIGHT = 0.05;
 
-/** Capacity that a task of this step reserves. Filler tasks use leftover cores, so that their cores aren't counted. */
+/** Capacity that a task of this step reserves. Tasks that fill leftover capacity reserve no cores. */
 export function reservedDemand(step: Step): Demand {
   return step.fills ? { ...step.demand, milliCores: 0 } : step.demand;
 }
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -55,7 +55,7 @@
     .filter(({ step }) => describeTasks(job, step).open > 0);
 }
 
-/** Numbers of tasks of a step that are pending (`open`) and that are assigned to a worker (`given`), and the demand of each task. */
+/** Number of tasks of a step that are pending (`open`) and assigned to a worker (`given`), and the demand of each task. */
 function describeTasks(job: OwnedJob, key: string): { open: number; given: number; each?: object } {
   const [occurrence = 0, step = 0] = key.split('.').map(Number);
   const tasks = job.progress.findStep({ occurrence, step })?.tasks ?? [];
