--- a/packages/bench/src/cell/simulated-cell.ts
+++ b/packages/bench/src/cell/simulated-cell.ts
@@ -5,7 +5,7 @@
   acceleratorsOf,
   ordersFor,
   parseTaskName,
-  takeUpContact,
+  applyContact,
   type Demand,
   type OwnedJob,
 } from '@zincspan/cell';
@@ -99,8 +99,8 @@
       evacuations: noEvacuations(),
       config: () => undefined,
       events: {
-        onChanged: (job) => this.#dirty.add(job),
-        onNews: (vm) => this.#news.add(vm),
+        onProgressChanged: (job) => this.#dirty.add(job),
+        onOrdersChanged: (vm) => this.#news.add(vm),
       },
     });
   }
@@ -220,7 +220,7 @@
     this.#contactAt.set(worker.vm, this.#now + CONTACT_EVERY_MS);
     const known = book.fleet.get(worker.vm);
     const contact = worker.contact(this.#now);
-    takeUpContact(book, known, contact);
+    applyContact(book, known, contact);
     const orders = ordersFor(book, known, contact);
     known.grant(this.#now, LEASE_MS);
     worker.confirm(orders.confirmedEnd);
@@ -250,7 +250,7 @@
     this.#dirty.clear();
     dirty.forEach((job) => {
       this.#version += 1;
-      job.wrote(job.change, this.#version);
+      job.markWritten(job.lastChange, this.#version);
     });
     const ids = new Set(dirty.map(({ id }) => id));
     this.#scheduler.book.fleet.concernedBy(ids).forEach(({ vm }) => this.#news.add(vm));
--- a/packages/cell/src/entry/config-order.steps.ts
+++ b/packages/cell/src/entry/config-order.steps.ts
@@ -1,10 +1,15 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { cellOf, otherEntry, type CellSteps, type Entry } from '../owner/cell-steps.support.js';
+import {
+  cellOf,
+  nonOwnerEntry,
+  type CellTestContext,
+  type Entry,
+} from '../owner/cell-test-context.support.js';
 import { HOST, KEY, TEST_QUEUE } from '../testing/test-jobs.support.js';
 
-interface OrderSteps extends CellSteps {
+interface OrderSteps extends CellTestContext {
   entry: Entry;
   goOn: () => void;
   served: boolean[];
@@ -24,7 +29,7 @@
 }
 
 Given('an entry whose reads of the configuration wait', async function (this: OrderSteps) {
-  this.entry = otherEntry(this);
+  this.entry = nonOwnerEntry(this);
   const { store } = this.entry;
   const read = store.read.bind(store);
   const isOn = new Promise<void>((resolve) => {
--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -5,8 +5,8 @@
 import { ConfigWatch, type ConfigSource } from '../config/config-watch.js';
 import { LINK_HEARTBEAT } from '../guard/owner-link.js';
 import { JOB_TABLE } from '../job/job-rows.js';
-import { CellOwner, notOwner, type EvacuationBounds } from '../owner/cell-owner.js';
-import { Ownership } from '../owner/ownership.js';
+import { CellOwner, notOwnerError, type EvacuationOptions } from '../owner/cell-owner.js';
+import { OwnerElection } from '../owner/owner-election.js';
 import type { ReclaimBounds } from '../owner/pass-input.js';
 import type { Row, RowStore } from '../store/row-store.js';
 import { WatchedStore } from '../store/watched-store.js';
@@ -39,7 +39,7 @@
   /** Longest authority that a contact may give, in ms. */
   leaseMs: number;
   reclaim: ReclaimBounds;
-  evacuation: EvacuationBounds;
+  evacuation: EvacuationOptions;
   /** Ended jobs are shown for this long, in ms. */
   keepEndedMs: number;
   /** A key that was taken away must not work any more after this long, in ms. */
@@ -60,7 +60,7 @@
 
   readonly #gate: CallerGate;
 
-  readonly #ownership: Ownership;
+  readonly #ownership: OwnerElection;
 
   readonly #links: LinkServer;
 
@@ -83,7 +83,7 @@
     const waiting = new WaitingCount({
       ctx,
       store,
-      ownCount: (queue) => this.#owner?.waiting(queue),
+      ownCount: (queue) => this.#owner?.countWaiting(queue),
       ownerLink: () => this.#peers.ownerLink,
     });
     this.calls = new JobCalls({
@@ -124,7 +124,7 @@
       status: () => this.#status(),
     });
     this.#successors = new SuccessorList({ links: () => this.#links.links(), clock: ctx.clock });
-    this.#ownership = new Ownership({
+    this.#ownership = new OwnerElection({
       ctx,
       store,
       self,
@@ -134,8 +134,8 @@
         onHolder: (holder) => this.#peers.followOwner(holder),
       },
       rank: () => this.#peers.rank(),
-      isSettled: () => this.#peers.isSettled,
-      isLinked: () => this.#peers.ownerLink !== undefined,
+      knowsPeers: () => this.#peers.isSettled,
+      hasOwnerLink: () => this.#peers.ownerLink !== undefined,
     });
   }
 
@@ -185,7 +185,7 @@
       configKey: this.#config.key,
       confirmedAt: () => this.#ownership.held?.confirmedAt ?? -Infinity,
       transact: (tx, callOptions) => this.#ownership.transact(tx, callOptions),
-      onDeposed: (reason) => this.#ownership.lose(reason),
+      onOwnershipLost: (reason) => this.#ownership.endOwnership(reason),
     });
     this.#owner.start();
   }
@@ -194,7 +194,7 @@
   #noteWritten(row: Row): void {
     this.#jobs.noteRow(row);
     if (this.#owner === undefined) this.#peers.tellOwner(row);
-    else this.#owner.noteWritten(row);
+    else this.#owner.applyWrittenRow(row);
   }
 
   /** Told in heartbeats; only the owner has something to tell. */
@@ -210,22 +210,22 @@
   #handlers(): Handlers {
     return {
       'cell.contact': (req, peer) => {
-        if (this.#owner === undefined) throw notOwner();
-        return this.#owner.contact(req, peer);
+        if (this.#owner === undefined) throw notOwnerError();
+        return this.#owner.handleContact(req, peer);
       },
       'cell.accept': (req) => {
-        if (this.#owner === undefined) throw notOwner();
+        if (this.#owner === undefined) throw notOwnerError();
         return this.#owner.accept(req);
       },
       'caller.forward': (req) => this.calls.serveForwarded(req),
       'cell.waiting': ({ queue }) => {
-        const count = this.#owner?.waiting(queue);
-        if (count === undefined) throw notOwner();
+        const count = this.#owner?.countWaiting(queue);
+        if (count === undefined) throw notOwnerError();
         return { count };
       },
       'job.news': ({ key, value, version }) => {
         const row = { table: JOB_TABLE, part: '', key, value: Buffer.from(value), version };
-        this.#owner?.noteWritten(row);
+        this.#owner?.applyWrittenRow(row);
         return {};
       },
     };
--- a/packages/cell/src/entry/entry-load.steps.ts
+++ b/packages/cell/src/entry/entry-load.steps.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { OWNER_KEY } from '../owner/owner-row.js';
+import { OWNER_ROW_KEY } from '../owner/owner-row.js';
 import {
   cellOf,
-  handIn,
-  jobOf,
-  otherEntry,
-  ownerOf,
-  type CellSteps,
+  submitJob,
+  firstJob,
+  nonOwnerEntry,
+  ownerEntry,
+  type CellTestContext,
   type Entry,
-} from '../owner/cell-steps.support.js';
+} from '../owner/cell-test-context.support.js';
 import { CellWorld, callOf, eventually } from '../testing/cell-world.support.js';
 import { PREFIX } from '../testing/test-jobs.support.js';
 
@@ -18,8 +18,8 @@
 const NEIGHBOURS = 2;
 
 /** Whether the owner has told each entry that the last two that joined take the cell before all others. */
-function areNamedFirst(world: CellSteps): boolean {
-  const owner = ownerOf(world);
+function areNamedFirst(world: CellTestContext): boolean {
+  const owner = ownerEntry(world);
   const strong = cellOf(world).entries.slice(-2);
   const told = cellOf(world).logged('rank among successors changed');
   return entriesButOwner(world).every((entry) => {
@@ -31,7 +31,7 @@
 }
 
 /** Who was to take the cell, as the entries saw it, and who did: for a scenario that fails. */
-function describeSuccession(world: CellSteps): string {
+function describeSuccession(world: CellTestContext): string {
   const cell = cellOf(world);
   const ranks = cell
     .logged('rank among successors changed')
@@ -40,8 +40,8 @@
   return ['ranks', ...ranks, 'taken', ...taken].join('\n');
 }
 
-function entriesButOwner(world: CellSteps): Entry[] {
-  const owner = ownerOf(world);
+function entriesButOwner(world: CellTestContext): Entry[] {
+  const owner = ownerEntry(world);
   return cellOf(world).entries.filter((entry) => entry !== owner);
 }
 
@@ -56,7 +56,7 @@
   return app.peers.map(({ process }) => process.id);
 }
 
-async function areLinked(world: CellSteps): Promise<boolean> {
+async function areLinked(world: CellTestContext): Promise<boolean> {
   return eventually(() => {
     const owner = cellOf(world).owner();
     return cellOf(world).entries.every((entry) => {
@@ -67,8 +67,8 @@
   });
 }
 
-async function stateAt(entry: Entry, world: CellSteps): Promise<string> {
-  const result = await entry.app.calls.state(callOf(jobOf(world)));
+async function stateAt(entry: Entry, world: CellTestContext): Promise<string> {
+  const result = await entry.app.calls.state(callOf(firstJob(world)));
   return result.outcome === 'state' ? result.state : result.outcome;
 }
 
@@ -77,15 +77,15 @@
   return result.outcome === 'waiting' ? result.count : result.outcome;
 }
 
-async function handInAtOwner(world: CellSteps, count: number): Promise<void> {
+async function handInAtOwner(world: CellTestContext, count: number): Promise<void> {
   for (let each = 0; each < count; each++) {
-    await handIn(world, { entry: ownerOf(world), spec: { workMs: 50 } });
+    await submitJob(world, { entry: ownerEntry(world), spec: { workMs: 50 } });
   }
 }
 
 Given(
   'a cell of 5 entries, the last two of which have more of a processor, and 1 worker',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = new CellWorld();
     this.cell = cell;
     this.jobs = [];
@@ -100,13 +100,16 @@
   },
 );
 
-When('{int} jobs are handed in at the owner', async function (this: CellSteps, count: number) {
-  await handInAtOwner(this, count);
-});
+When(
+  '{int} jobs are handed in at the owner',
+  async function (this: CellTestContext, count: number) {
+    await handInAtOwner(this, count);
+  },
+);
 
 When(
   '{int} jobs are handed in at the owner and complete',
-  async function (this: CellSteps, count: number) {
+  async function (this: CellTestContext, count: number) {
     await handInAtOwner(this, count);
     const areOver = (): boolean =>
       this.jobs.every((id) => cellOf(this).writtenProgress(id)?.outcome === 'completed');
@@ -114,25 +117,26 @@
   },
 );
 
-When('a job is handed in at the owner and completes', async function (this: CellSteps) {
+When('a job is handed in at the owner and completes', async function (this: CellTestContext) {
   await handInAtOwner(this, 1);
-  const isOver = (): boolean => cellOf(this).writtenProgress(jobOf(this))?.outcome === 'completed';
+  const isOver = (): boolean =>
+    cellOf(this).writtenProgress(firstJob(this))?.outcome === 'completed';
   assert.ok(await eventually(isOver));
 });
 
-When("an entry that doesn't own the cell is gone", async function (this: CellSteps) {
+When("an entry that doesn't own the cell is gone", async function (this: CellTestContext) {
   const { entries } = cellOf(this);
-  const [gone] = entries.splice(entries.indexOf(otherEntry(this)), 1);
+  const [gone] = entries.splice(entries.indexOf(nonOwnerEntry(this)), 1);
   await gone?.app.stop();
 });
 
-When('every entry has told of it, and the store is away', async function (this: CellSteps) {
+When('every entry has told of it, and the store is away', async function (this: CellTestContext) {
   const { entries } = cellOf(this);
   await Promise.all(entries.map((entry) => stateAt(entry, this)));
   entries.forEach(({ store }) => Object.assign(store, { fault: 'refuse' }));
 });
 
-Then('no other entry has asked the store about a job', function (this: CellSteps) {
+Then('no other entry has asked the store about a job', function (this: CellTestContext) {
   entriesButOwner(this).forEach(({ id, store }) => {
     const calls = store.calls.filter(({ table }) => table === 'jobs');
     assert.deepEqual(calls, [], id);
@@ -142,7 +146,7 @@
 Then(
   /^each entry(?: that is left)? keeps links to the owner and to 2 others soon after$/,
   { timeout: 15_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     assert.ok(await areLinked(this));
   },
 );
@@ -150,13 +154,13 @@
 Then(
   "no more than 3 entries read the owner's row more than twice a second soon after",
   { timeout: 15_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     assert.ok(await areLinked(this));
     await pause(1500);
     const others = entriesButOwner(this);
     const counts = (): number[] =>
       others.map(
-        ({ store }) => store.calls.filter(({ table }) => table === OWNER_KEY.table).length,
+        ({ store }) => store.calls.filter(({ table }) => table === OWNER_ROW_KEY.table).length,
       );
     const before = counts();
     await pause(2000);
@@ -165,25 +169,31 @@
   },
 );
 
-Then('one of the last two owns the cell soon after', async function (this: CellSteps) {
+Then('one of the last two owns the cell soon after', async function (this: CellTestContext) {
   const strong = cellOf(this).entries.slice(-2);
   const isTaken = (): boolean => strong.includes(cellOf(this).owner() as Entry);
   assert.ok(await eventually(isTaken, 3000), describeSuccession(this));
 });
 
-Then(/^every entry says that it is (completed|running)$/, async function (this: CellSteps, state) {
-  const states = await Promise.all(cellOf(this).entries.map((entry) => stateAt(entry, this)));
-  assert.deepEqual(new Set(states), new Set([state]));
-});
+Then(
+  /^every entry says that it is (completed|running)$/,
+  async function (this: CellTestContext, state) {
+    const states = await Promise.all(cellOf(this).entries.map((entry) => stateAt(entry, this)));
+    assert.deepEqual(new Set(states), new Set([state]));
+  },
+);
 
-Then('every entry says that {int} jobs wait', async function (this: CellSteps, count: number) {
-  const counts = await Promise.all(cellOf(this).entries.map(waitingAt));
-  assert.deepEqual(new Set(counts), new Set([count]));
-});
+Then(
+  'every entry says that {int} jobs wait',
+  async function (this: CellTestContext, count: number) {
+    const counts = await Promise.all(cellOf(this).entries.map(waitingAt));
+    assert.deepEqual(new Set(counts), new Set([count]));
+  },
+);
 
 Then(
   'every entry that is left says at once that {int} jobs wait',
-  async function (this: CellSteps, count: number) {
+  async function (this: CellTestContext, count: number) {
     const left = cellOf(this).entries.filter(({ store }) => store.fault === 'none');
     const startedAt = performance.now();
     const counts = await Promise.all(left.map(waitingAt));
@@ -192,14 +202,14 @@
   },
 );
 
-Then(/^the other entry owns the cell within 1.3 s$/, async function (this: CellSteps) {
-  const lost = ownerOf(this);
+Then(/^the other entry owns the cell within 1.3 s$/, async function (this: CellTestContext) {
+  const lost = ownerEntry(this);
   assert.ok(await eventually(() => cellOf(this).owner() !== lost, 1300));
 });
 
 Given(
   'a cell that starts with 4 entries, the last of which has more of a processor',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = new CellWorld();
     this.cell = cell;
     this.jobs = [];
@@ -209,6 +219,6 @@
   },
 );
 
-Then('the last of them owns the cell', function (this: CellSteps) {
-  assert.equal(ownerOf(this), cellOf(this).entries.at(-1));
+Then('the last of them owns the cell', function (this: CellTestContext) {
+  assert.equal(ownerEntry(this), cellOf(this).entries.at(-1));
 });
--- a/packages/cell/src/entry/owner-status.ts
+++ b/packages/cell/src/entry/owner-status.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '@zincspan/core';
 import type { Link } from '@zincspan/link';
 import { LINK_HEARTBEAT } from '../guard/owner-link.js';
-import { SUCCESSORS } from '../owner/ownership.js';
+import { SUCCESSOR_COUNT } from '../owner/owner-election.js';
 import { fittestFirst, type Carrier } from './neighbours.js';
 
 const entryStatusSchema = z.object({ processorShare: z.number() });
@@ -47,7 +47,7 @@
 
 function bestOf(carriers: readonly Carrier[]): string[] {
   return fittestFirst(carriers)
-    .slice(0, SUCCESSORS)
+    .slice(0, SUCCESSOR_COUNT)
     .map(({ id }) => id);
 }
 
--- a/packages/cell/src/entry/slow-store.steps.ts
+++ b/packages/cell/src/entry/slow-store.steps.ts
@@ -4,17 +4,17 @@
 import { jobRowKey } from '../job/job-rows.js';
 import {
   cellOf,
-  handIn,
-  jobOf,
-  otherEntry,
-  ownerOf,
-  type CellSteps,
-} from '../owner/cell-steps.support.js';
-import { OWNER_KEY } from '../owner/owner-row.js';
+  submitJob,
+  firstJob,
+  nonOwnerEntry,
+  ownerEntry,
+  type CellTestContext,
+} from '../owner/cell-test-context.support.js';
+import { OWNER_ROW_KEY } from '../owner/owner-row.js';
 import { loseEntry, submit } from '../testing/cell-world.support.js';
 import { sameRow, type Transaction } from '../store/row-store.js';
 
-interface SlowSteps extends CellSteps {
+interface SlowSteps extends CellTestContext {
   /** When each job was handed in, and how long its acceptance took, in ms. */
   handedIn: Map<string, { at: number; tookMs: number }>;
   /** All transactions that were asked for. */
@@ -30,7 +30,7 @@
     const cell = cellOf(this);
     this.handedIn = new Map();
     this.transactions = [];
-    this.ownerRow = cell.tables.get(OWNER_KEY)?.value;
+    this.ownerRow = cell.tables.get(OWNER_ROW_KEY)?.value;
     const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
     stores.forEach((store) => {
       const transact = store.transact.bind(store);
@@ -76,8 +76,8 @@
 When(
   /^the owner (is cut from the store|is lost) and a job is handed in at another entry$/,
   async function (this: SlowSteps, what: string) {
-    const owner = ownerOf(this);
-    const other = otherEntry(this);
+    const owner = ownerEntry(this);
+    const other = nonOwnerEntry(this);
     if (what === 'is cut from the store') owner.store.fault = 'silent';
     if (what === 'is lost') loseEntry(owner);
     const id = cellOf(this).newJobId();
@@ -92,7 +92,7 @@
 });
 
 When('a job is handed in', async function (this: SlowSteps) {
-  await handIn(this, { spec: { workMs: 100 } });
+  await submitJob(this, { spec: { workMs: 100 } });
 });
 
 When('the store is as fast as usual for {int} s', async function (this: SlowSteps, s: number) {
@@ -121,11 +121,11 @@
 );
 
 Then('the cell has the owner that it had', function (this: SlowSteps) {
-  assert.deepEqual(cellOf(this).tables.get(OWNER_KEY)?.value, this.ownerRow);
+  assert.deepEqual(cellOf(this).tables.get(OWNER_ROW_KEY)?.value, this.ownerRow);
 });
 
 Then('the store was asked to accept it once', function (this: SlowSteps) {
-  const submission = jobRowKey(jobOf(this), 'submission');
+  const submission = jobRowKey(firstJob(this), 'submission');
   const acceptances = this.transactions.filter(({ set }) =>
     set.some((row) => sameRow(row, submission)),
   );
--- a/packages/cell/src/evacuation/evacuated-cell.steps.ts
+++ b/packages/cell/src/evacuation/evacuated-cell.steps.ts
@@ -7,14 +7,14 @@
 import { restartGuard } from '../testing/worker-vm.support.js';
 import {
   cellOf,
-  handIn,
-  jobOf,
-  ownerOf,
-  type CellSteps,
+  submitJob,
+  firstJob,
+  ownerEntry,
+  type CellTestContext,
   type Worker,
-} from '../owner/cell-steps.support.js';
+} from '../owner/cell-test-context.support.js';
 
-interface EvacuationSteps extends CellSteps {
+interface EvacuationSteps extends CellTestContext {
   /** When the last evacuation was acknowledged, as runners tell the time. */
   evacuatedAt: number;
 }
@@ -25,7 +25,7 @@
 
 /** Starts of the job that handed in first, by the runners of this hall. */
 function startsIn(world: EvacuationSteps, hall: string): { task: string; at: number }[] {
-  const id = jobOf(world);
+  const id = firstJob(world);
   return workersOf(world, hall)
     .flatMap(({ lives }) => lives.flatMap(({ starts }) => starts))
     .filter(({ task }) => task.startsWith(`${id}.`));
@@ -68,7 +68,7 @@
 });
 
 Given("an owner that can't read evacuations", function (this: EvacuationSteps) {
-  ownerOf(this).store.unreadableFrom = TEST_EVACUATION_SOURCE.keyPrefix;
+  ownerEntry(this).store.unreadableFrom = TEST_EVACUATION_SOURCE.keyPrefix;
 });
 
 Given('guards in hall east that are out of contact', function (this: EvacuationSteps) {
@@ -80,14 +80,14 @@
 });
 
 When('a job of {int} tasks is handed in', async function (this: EvacuationSteps, tasks: number) {
-  await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
+  await submitJob(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
 });
 
 When(
   'a job of {int} tasks is handed in {int} ms later',
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
     await pause(laterMs);
-    await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
+    await submitJob(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
   },
 );
 
@@ -98,7 +98,7 @@
     const other = cell.entries.find(({ store }) => store.fault === 'none');
     assert.ok(other);
     const steps = [testStep({ tasks })];
-    await handIn(this, { steps, spec: { workMs: 100 }, entry: other });
+    await submitJob(this, { steps, spec: { workMs: 100 }, entry: other });
   },
 );
 
@@ -107,7 +107,7 @@
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
     await pause(laterMs);
     const steps = [testStep({ tasks, maxPerWorker: 4 })];
-    await handIn(this, { steps, spec: { workMs: 1000 } });
+    await submitJob(this, { steps, spec: { workMs: 1000 } });
   },
 );
 
@@ -115,7 +115,7 @@
   'a job of {int} tasks that take 1 s is handed in and has begun in hall east',
   async function (this: EvacuationSteps, tasks: number) {
     const steps = [testStep({ tasks, maxPerWorker: 4 })];
-    await handIn(this, { steps, spec: { workMs: 1000 } });
+    await submitJob(this, { steps, spec: { workMs: 1000 } });
     assert.ok(await eventually(() => startsIn(this, 'east').length === tasks / 2, 2000));
   },
 );
@@ -125,7 +125,7 @@
   async function (this: EvacuationSteps, tasks: number) {
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
     const steps = [testStep({ tasks, gang: true, demand })];
-    await handIn(this, { steps, spec: { workMs: 150, gangs: { 0: tasks } } });
+    await submitJob(this, { steps, spec: { workMs: 150, gangs: { 0: tasks } } });
   },
 );
 
@@ -166,11 +166,11 @@
 Then('all of its tasks ran in hall west at last', function (this: EvacuationSteps) {
   const last = Math.max(
     ...cellOf(this)
-      .starts(jobOf(this))
+      .starts(firstJob(this))
       .map(({ run }) => run),
   );
   const lastRuns = cellOf(this)
-    .starts(jobOf(this))
+    .starts(firstJob(this))
     .filter(({ run }) => run === last);
   const inWest = startsIn(this, 'west');
   assert.ok(lastRuns.every((start) => inWest.includes(start)));
@@ -178,7 +178,7 @@
 
 Then('each of its tasks ran once', function (this: EvacuationSteps) {
   const tasks = cellOf(this)
-    .starts(jobOf(this))
+    .starts(firstJob(this))
     .map(({ task }) => task);
   assert.equal(new Set(tasks).size, tasks.length);
 });
@@ -187,7 +187,7 @@
   'nothing of it has begun {int} ms later',
   async function (this: EvacuationSteps, laterMs: number) {
     await pause(laterMs);
-    assert.deepEqual(cellOf(this).starts(jobOf(this)), []);
+    assert.deepEqual(cellOf(this).starts(firstJob(this)), []);
   },
 );
 
--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -1,29 +1,38 @@
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { cellOf, handIn, jobOf, ownerOf, type CellSteps } from '../owner/cell-steps.support.js';
+import {
+  cellOf,
+  submitJob,
+  firstJob,
+  ownerEntry,
+  type CellTestContext,
+} from '../owner/cell-test-context.support.js';
 import { eventually } from '../testing/cell-world.support.js';
 
-Then('no guard calls the store more than twice in the next 4 s', async function (this: CellSteps) {
-  const { workers } = cellOf(this);
-  const counts = (): number[] => workers.map(({ store }) => store.calls.length);
-  const before = counts();
-  await pause(4000);
-  const made = counts().map((count, index) => count - (before[index] ?? 0));
-  assert.ok(Math.max(...made) <= 2, `calls: ${made.join(' ')}`);
-});
+Then(
+  'no guard calls the store more than twice in the next 4 s',
+  async function (this: CellTestContext) {
+    const { workers } = cellOf(this);
+    const counts = (): number[] => workers.map(({ store }) => store.calls.length);
+    const before = counts();
+    await pause(4000);
+    const made = counts().map((count, index) => count - (before[index] ?? 0));
+    assert.ok(Math.max(...made) <= 2, `calls: ${made.join(' ')}`);
+  },
+);
 
-Then('a job handed in there begins within 1.2 s', async function (this: CellSteps) {
-  await handIn(this, { entry: ownerOf(this), spec: { workMs: 200 } });
-  const hasBegun = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
+Then('a job handed in there begins within 1.2 s', async function (this: CellTestContext) {
+  await submitJob(this, { entry: ownerEntry(this), spec: { workMs: 200 } });
+  const hasBegun = (): boolean => cellOf(this).starts(firstJob(this)).length > 0;
   assert.ok(await eventually(hasBegun, 1200));
 });
 
 Then(
   'the owner gets {int} to {int} contacts in the next 4 s',
   { timeout: 10_000 },
-  async function (this: CellSteps, least: number, most: number) {
-    const count = (): number => ownerOf(this).metrics.counters.get('owner.contact') ?? 0;
+  async function (this: CellTestContext, least: number, most: number) {
+    const count = (): number => ownerEntry(this).metrics.counters.get('owner.contact') ?? 0;
     // What the start brought is told by then.
     await pause(1000);
     const before = count();
--- a/packages/cell/src/guard/owner-link.ts
+++ b/packages/cell/src/guard/owner-link.ts
@@ -1,7 +1,7 @@
 /** Finds the cell's owner and keeps a link to it. */
 import type { Handlers, ProcessContext } from '@zincspan/core';
 import { Dialer, type Link } from '@zincspan/link';
-import { OWNER_KEY, unpackOwner, type Holder } from '../owner/owner-row.js';
+import { OWNER_ROW_KEY, unpackOwnerRow, type Holder } from '../owner/owner-row.js';
 import { readRow } from '../store/read-row.js';
 import type { RowStore } from '../store/row-store.js';
 
@@ -94,12 +94,12 @@
     if (this.#looking) return;
     this.#looking = true;
     const { store, ctx } = this.#options;
-    const result = await readRow(store, OWNER_KEY, { timeoutMs: READ_TIMEOUT_MS });
+    const result = await readRow(store, OWNER_ROW_KEY, { timeoutMs: READ_TIMEOUT_MS });
     this.#looking = false;
     if (this.#stopped) return;
     if (result.outcome === 'failed') ctx.metrics.count('owner-link.look-failed');
     if (result.outcome === 'found') {
-      const { term, holder } = unpackOwner(result.row.value);
+      const { term, holder } = unpackOwnerRow(result.row.value);
       if (term > this.#term) this.#follow(term, holder);
     }
     this.#timer = setTimeout(() => {
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -11,58 +11,58 @@
 } from '../testing/cell-world.support.js';
 import { sendHeartbeat } from '../testing/worker-vm.support.js';
 import { TEST_QUEUE, testStep, testSubmission } from '../testing/test-jobs.support.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 import { entryRowKey } from '../entry/entry-row.js';
 import { jobRowKey, packProgress } from '../job/job-rows.js';
 import { JobProgress } from '../job/progress.js';
 import {
   cellOf,
-  handIn,
-  jobOf,
-  otherEntry,
-  ownerOf,
+  submitJob,
+  firstJob,
+  nonOwnerEntry,
+  ownerEntry,
   runningWorker,
-  type CellSteps,
-} from './cell-steps.support.js';
+  type CellTestContext,
+} from './cell-test-context.support.js';
 
-Given("the store does what an entry writes and doesn't answer", function (this: CellSteps) {
-  otherEntry(this).store.fault = 'lost';
+Given("the store does what an entry writes and doesn't answer", function (this: CellTestContext) {
+  nonOwnerEntry(this).store.fault = 'lost';
 });
 
-Given('the owner stops the moment a run is written down', function (this: CellSteps) {
-  loseEntryAtWrite(ownerOf(this));
+Given('the owner stops the moment a run is written down', function (this: CellTestContext) {
+  loseEntryAtWrite(ownerEntry(this));
 });
 
 Given(
   /^the first worker carries starts out 2.5 s later and doesn't answer$/,
-  function (this: CellSteps) {
+  function (this: CellTestContext) {
     const [first] = cellOf(this).workers;
     assert.ok(first);
     first.runner.lateStartsMs = 2500;
   },
 );
 
-Given('an entry whose reads of the configuration stand still', function (this: CellSteps) {
-  const { store } = otherEntry(this);
+Given('an entry whose reads of the configuration stand still', function (this: CellTestContext) {
+  const { store } = nonOwnerEntry(this);
   const frozen = store.read.bind(store);
   store.read = async (range, options) =>
     range.table === 'operator' ? { outcome: 'failed', detail: 'frozen' } : frozen(range, options);
 });
 
-Given('an owner whose feed stands still', async function (this: CellSteps) {
+Given('an owner whose feed stands still', async function (this: CellTestContext) {
   // The entries look for each other every 2 s; what the feed was waiting for has come by then.
   await pause(2500);
-  ownerOf(this).store.feedStandsStill = true;
+  ownerEntry(this).store.feedStandsStill = true;
   await pause(1600);
 });
 
-Given('an entry whose feed stands still', async function (this: CellSteps) {
-  otherEntry(this).store.feedStandsStill = true;
+Given('an entry whose feed stands still', async function (this: CellTestContext) {
+  nonOwnerEntry(this).store.feedStandsStill = true;
   // What it was waiting for before has come by then.
   await pause(1600);
 });
 
-When('the feed of that entry goes on', async function (this: CellSteps) {
+When('the feed of that entry goes on', async function (this: CellTestContext) {
   cellOf(this).entries.forEach(({ store }) => Object.assign(store, { feedStandsStill: false }));
   // The feed tells of the job within 0.2 s; a second run would have been ordered, and refused once, by then.
   await pause(1500);
@@ -70,9 +70,9 @@
 
 When(
   "its progress is put down as failed behind the owner's back",
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const { tables } = cellOf(this);
-    const key = jobRowKey(jobOf(this), 'progress');
+    const key = jobRowKey(firstJob(this), 'progress');
     const row = { outcome: 'failed' as const, begun: true, opened: 1, occurrences: [] };
     const value = packProgress(new JobProgress(testSubmission({}), row));
     assert.equal(
@@ -86,22 +86,22 @@
 
 Then(
   /^its progress says that it is (completed|failed)$/,
-  async function (this: CellSteps, outcome: string) {
-    const isSo = (): boolean => cellOf(this).writtenProgress(jobOf(this))?.outcome === outcome;
+  async function (this: CellTestContext, outcome: string) {
+    const isSo = (): boolean => cellOf(this).writtenProgress(firstJob(this))?.outcome === outcome;
     assert.ok(await eventually(isSo));
   },
 );
 
 When(
   'the runner that runs it says that it leaves in {int} ms',
-  function (this: CellSteps, remainingMs: number) {
+  function (this: CellTestContext, remainingMs: number) {
     const worker = runningWorker(this);
     worker.remainingMs = remainingMs;
     sendHeartbeat(worker);
   },
 );
 
-Given('a cell that keeps ended jobs for 1 s', async function (this: CellSteps) {
+Given('a cell that keeps ended jobs for 1 s', async function (this: CellTestContext) {
   const cell = cellOf(this);
   await cell.stop();
   const fresh = new CellWorld();
@@ -110,26 +110,29 @@
   await fresh.start(2, 1);
 });
 
-Given('a queue that needs advice where no advisor is known', async function (this: CellSteps) {
-  const cell = cellOf(this);
-  cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
-  const isRefused = async () =>
-    (await submit(otherEntry(this), cell.newJobId())) === 'not-accepted';
-  assert.ok(await eventually(isRefused, 2000));
-});
+Given(
+  'a queue that needs advice where no advisor is known',
+  async function (this: CellTestContext) {
+    const cell = cellOf(this);
+    cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
+    const isRefused = async () =>
+      (await submit(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
+    assert.ok(await eventually(isRefused, 2000));
+  },
+);
 
-Given('an entry that has been cut from the store for 2 s', async function (this: CellSteps) {
-  otherEntry(this).store.fault = 'silent';
+Given('an entry that has been cut from the store for 2 s', async function (this: CellTestContext) {
+  nonOwnerEntry(this).store.fault = 'silent';
   await pause(2000);
 });
 
 Given(
   'every second answer to a write of the owner is lost for 4 s',
   { timeout: 10_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = cellOf(this);
-    const { store } = ownerOf(this);
-    this.ownerRow = cell.tables.get(OWNER_KEY)?.value;
+    const { store } = ownerEntry(this);
+    this.ownerRow = cell.tables.get(OWNER_ROW_KEY)?.value;
     const transact = store.transact.bind(store);
     let writes = 0;
     store.transact = async (tx, options) => {
@@ -144,23 +147,23 @@
   },
 );
 
-Then('the same entry owns the cell in the same term', function (this: CellSteps) {
+Then('the same entry owns the cell in the same term', function (this: CellTestContext) {
   assert.ok(this.ownerRow);
-  assert.deepEqual(cellOf(this).tables.get(OWNER_KEY)?.value, this.ownerRow);
+  assert.deepEqual(cellOf(this).tables.get(OWNER_ROW_KEY)?.value, this.ownerRow);
 });
 
 Then(
   'its state is told there, and noted as a call that was answered',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
-    const { outcome } = await cutOff.app.calls.state(callOf(jobOf(this)));
+    const { outcome } = await cutOff.app.calls.state(callOf(firstJob(this)));
     assert.equal(outcome, 'state');
     assert.equal(cutOff.metrics.counters.get('call.state.state'), 1);
   },
 );
 
-Given("a row of an entry that can't be read", function (this: CellSteps) {
+Given("a row of an entry that can't be read", function (this: CellTestContext) {
   const row = { ...entryRowKey('entry-0'), value: Buffer.from('of another writer') };
   const { outcome } = cellOf(this).tables.transact({ expected: [], set: [row], remove: [] });
   assert.equal(outcome, 'done');
@@ -169,34 +172,37 @@
 When(
   'an entry joins and is cut from the store 3 s later',
   { timeout: 10_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const entry = await cellOf(this).addEntry();
     await pause(3000);
     entry.store.fault = 'silent';
   },
 );
 
-Then('a job handed in there is accepted', async function (this: CellSteps) {
+Then('a job handed in there is accepted', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
   assert.equal(await submit(cutOff, cell.newJobId()), 'accepted');
 });
 
-Given('the answers of entries that calls are passed on to are lost', function (this: CellSteps) {
-  cellOf(this).entries.forEach(({ app: { calls } }) => {
-    const serve = calls.serveForwarded.bind(calls);
-    const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
-      await serve(call);
-      throw new Error('the answer is lost');
-    };
-    Object.assign(calls, { serveForwarded: serveAndFail });
-  });
-});
+Given(
+  'the answers of entries that calls are passed on to are lost',
+  function (this: CellTestContext) {
+    cellOf(this).entries.forEach(({ app: { calls } }) => {
+      const serve = calls.serveForwarded.bind(calls);
+      const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
+        await serve(call);
+        throw new Error('the answer is lost');
+      };
+      Object.assign(calls, { serveForwarded: serveAndFail });
+    });
+  },
+);
 
 When(
   'a job is handed in at that entry, and its outcome is {string}',
-  async function (this: CellSteps, expected: string) {
+  async function (this: CellTestContext, expected: string) {
     const cell = cellOf(this);
     const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
@@ -206,14 +212,17 @@
   },
 );
 
-Given('entries that have all been cut from the store for 2 s', async function (this: CellSteps) {
-  cellOf(this).entries.forEach(({ store }) => Object.assign(store, { fault: 'silent' }));
-  await pause(2000);
-});
+Given(
+  'entries that have all been cut from the store for 2 s',
+  async function (this: CellTestContext) {
+    cellOf(this).entries.forEach(({ store }) => Object.assign(store, { fault: 'silent' }));
+    await pause(2000);
+  },
+);
 
 When(
   'all entries are lost and the runner that runs it comes back as another',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = cellOf(this);
     const lost = cell.entries.splice(0);
     lost.forEach(({ store }) => Object.assign(store, { fault: 'silent' }));
@@ -225,26 +234,26 @@
 
 When(
   'a runner goes for good, and a job with a task for each worker is handed in at once',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const { workers } = cellOf(this);
     const [first] = workers;
     assert.ok(first !== undefined);
     first.runner.life = undefined;
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
     const steps = [testStep({ tasks: workers.length, demand })];
-    await handIn(this, { steps, spec: { workMs: 300 } });
+    await submitJob(this, { steps, spec: { workMs: 300 } });
   },
 );
 
-When('the owner is lost', function (this: CellSteps) {
-  loseEntry(ownerOf(this));
+When('the owner is lost', function (this: CellTestContext) {
+  loseEntry(ownerEntry(this));
 });
 
-When('the owner is cut from the store', function (this: CellSteps) {
-  ownerOf(this).store.fault = 'silent';
+When('the owner is cut from the store', function (this: CellTestContext) {
+  ownerEntry(this).store.fault = 'silent';
 });
 
-When(/^the store is silent for everybody for 2.5 s$/, async function (this: CellSteps) {
+When(/^the store is silent for everybody for 2.5 s$/, async function (this: CellTestContext) {
   const cell = cellOf(this);
   const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
   stores.forEach((store) => Object.assign(store, { fault: 'silent' }));
@@ -252,27 +261,27 @@
   stores.forEach((store) => Object.assign(store, { fault: 'none' }));
 });
 
-When('the runner that runs it crashes and comes back', function (this: CellSteps) {
+When('the runner that runs it crashes and comes back', function (this: CellTestContext) {
   cellOf(this).replaceRunner(runningWorker(this));
 });
 
-When('the worker that runs it is out of reach', function (this: CellSteps) {
+When('the worker that runs it is out of reach', function (this: CellTestContext) {
   const { guard, store } = runningWorker(this);
   store.fault = 'silent';
   guard.stop();
 });
 
-When('the operator takes the key away', function (this: CellSteps) {
+When('the operator takes the key away', function (this: CellTestContext) {
   cellOf(this).configure({ accounts: [] });
 });
 
 When(
   'the store drops its history again and again while jobs are handed in',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = cellOf(this);
     for (let each = 0; each < 6; each++) {
       cell.tables.forgetHistory();
-      await handIn(this, { spec: { workMs: 50 } });
+      await submitJob(this, { spec: { workMs: 50 } });
       cell.tables.forgetHistory();
     }
   },
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -26,48 +26,48 @@
 import type { Worker } from '../worker/worker.js';
 import { CONTACT_TIMEOUT_MS } from '../guard/guard-app.js';
 import { START_TAKES_MS } from '../guard/run-orders.js';
-import { ordersFor, takeUpContact } from './contact-handler.js';
-import { EndedSweeper } from './ended-sweeper.js';
+import { ordersFor, applyContact } from './contact-handler.js';
+import { EndedJobSweeper } from './ended-job-sweeper.js';
 import { leaseLengthMs } from './lease-length.js';
 import type { OwnedJob } from './owned-job.js';
 import type { ReclaimBounds } from './pass-input.js';
-import { ProgressWriter, type OwnerTransact } from './progress-writer.js';
-import type { RunBook } from './run-book.js';
+import { ProgressWriter, type FencedTransact } from './progress-writer.js';
+import type { RunRegistry } from './run-registry.js';
 import { Scheduler } from './scheduler.js';
 
 /** Pause between passes when nothing happens, in ms: time alone changes what may be placed. */
-const PASS_EVERY_MS = 200;
+const PASS_INTERVAL_MS = 200;
 
 /**
  * Shortest pause between two passes, in ms: what happens meanwhile is decided together, as each pass looks over all workers.
  * An urgent job of 2.5 s doesn't feel it.
  */
-const PASS_PAUSE_MS = 25;
+const MIN_PASS_INTERVAL_MS = 25;
 
 /**
  * An owner that the store hasn't confirmed for this long gives no authority any more, in ms: longer than the outages
  * that tasks are to outlive, since a rival needs the store too. A new owner waits as long for workers that it can't
  * reach.
  */
-export const UNCONFIRMED_MS = 12_000;
+export const LEASE_MAX_UNCONFIRMED_MS = 12_000;
 
 /**
  * One that hasn't been confirmed for this long decides nothing, in ms: a rival takes over after about as long, and what
  * its silent workers do is then the rival's to judge.
  */
-const DECIDE_WITHIN_MS = 1500;
+const DECISION_MAX_UNCONFIRMED_MS = 1500;
 
 /** A guard is given this long to take a poke, in ms. */
-const POKE_TIMEOUT_MS = 1000;
+const NOTIFY_TIMEOUT_MS = 1000;
 
 /** From the order in an owner's answer to its last try at a runner, in ms: the contact's time, and the guard's for a start. */
-const ORDER_TAKES_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
+const ORDER_DELIVERY_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
 
 /** What is known of evacuations is good for this long at least, in ms: two reads of them. */
-const LEAST_STALE_MS = 900;
+const MIN_EVACUATION_VALIDITY_MS = 900;
 
 /** The operator's evacuations. */
-export interface EvacuationBounds {
+export interface EvacuationOptions {
   source: EvacuationSource;
   /** Nothing may start in an evacuated failure domain after this time, in ms. */
   applyMs: number;
@@ -84,7 +84,7 @@
   /** Longest authority that a contact gives, in ms. */
   leaseMs: number;
   reclaim: ReclaimBounds;
-  evacuation: EvacuationBounds;
+  evacuation: EvacuationOptions;
   /** Ended jobs are shown for this long, in ms. */
   keepEndedMs: number;
   config: () => CellConfig | undefined;
@@ -93,9 +93,9 @@
   /** When the store last confirmed this owner, on the monotonic clock. */
   confirmedAt: () => number;
   /** Writes in this owner's name. */
-  transact: OwnerTransact;
+  transact: FencedTransact;
   /** This term is over, for the reason given. */
-  onDeposed: (reason: string) => void;
+  onOwnershipLost: (reason: string) => void;
 }
 
 /** One term. */
@@ -103,25 +103,25 @@
   readonly #options: CellOwnerOptions;
 
   /** All jobs of the cell. */
-  readonly #view: JobView;
+  readonly #jobView: JobView;
 
   /** Started with the term: what it reads first, no earlier owner can change any more. */
-  readonly #follower: TableFollower;
+  readonly #jobFollower: TableFollower;
 
   readonly #scheduler: Scheduler;
 
-  readonly #writer: ProgressWriter;
+  readonly #progressWriter: ProgressWriter;
 
-  readonly #sweeper: EndedSweeper;
+  readonly #endedJobSweeper: EndedJobSweeper;
 
   readonly #evacuationWatch: EvacuationWatch;
 
   readonly #adviceDesk: AdviceDesk | undefined;
 
   /** Links to guards, by VM. */
-  readonly #guards = new Map<string, Peer>();
+  readonly #guardPeers = new Map<string, Peer>();
 
-  readonly #poking = new Set<string>();
+  readonly #notifying = new Set<string>();
 
   #loaded = false;
 
@@ -129,61 +129,61 @@
 
   #passTimer: NodeJS.Timeout | undefined;
 
-  #passDue = false;
+  #passScheduled = false;
 
-  #passedAt = -Infinity;
+  #lastPassAt = -Infinity;
 
   constructor(options: CellOwnerOptions) {
     this.#options = options;
     const { ctx, store, ownerVersion, leaseMs, reclaim, config, keepEndedMs, advisor } = options;
     const { source, applyMs } = options.evacuation;
-    const staleAfterMs = Math.max(LEAST_STALE_MS, applyMs - ORDER_TAKES_MS);
+    const staleAfterMs = Math.max(MIN_EVACUATION_VALIDITY_MS, applyMs - ORDER_DELIVERY_MS);
     const evacuations = new Evacuations({ source, staleAfterMs });
     const view = new JobView({ ctx });
-    view.subscribe((known) => this.#noteJob(known));
-    this.#view = view;
-    this.#follower = new TableFollower({
+    view.subscribe((known) => this.#onJobChanged(known));
+    this.#jobView = view;
+    this.#jobFollower = new TableFollower({
       ctx,
       store,
       table: JOB_TABLE,
       onRows: (rows) => rows.forEach((row) => view.apply(row)),
-      onLoaded: (rows) => this.#open(rows),
+      onLoaded: (rows) => this.#onLoaded(rows),
     });
     this.#scheduler = new Scheduler({
       ctx,
       leaseMs,
-      earlierGrantMs: UNCONFIRMED_MS,
+      earlierGrantMs: LEASE_MAX_UNCONFIRMED_MS,
       reclaim,
       evacuations,
       config,
       events: {
-        onChanged: (job) => this.#writer.mark(job),
-        onNews: (vm) => this.#poke(vm),
+        onProgressChanged: (job) => this.#progressWriter.markDirty(job),
+        onOrdersChanged: (vm) => this.#notifyGuard(vm),
       },
     });
     this.#evacuationWatch = new EvacuationWatch({
       ctx,
       store,
       evacuations,
-      onChanges: (changes) => this.#noteEvacuations(changes),
+      onChanges: (changes) => this.#applyEvacuations(changes),
     });
     if (advisor !== undefined) {
       this.#adviceDesk = new AdviceDesk({
         ctx,
         advisor,
         book: this.#scheduler.advice,
-        onAdvice: () => this.#wantPass(),
+        onAdvice: () => this.#schedulePass(),
       });
     }
-    this.#sweeper = new EndedSweeper({
+    this.#endedJobSweeper = new EndedJobSweeper({
       ctx,
       store,
       view,
       ownerVersion,
       keepEndedMs,
-      onRemoved: (jobId) => this.#book.ended.delete(jobId),
+      onRemoved: (jobId) => this.#registry.endedJobs.delete(jobId),
     });
-    this.#writer = new ProgressWriter({
+    this.#progressWriter = new ProgressWriter({
       ctx,
       transact: options.transact,
       ownerVersion,
@@ -191,136 +191,136 @@
       configKey: options.configKey,
       events: {
         onEvacuationConflict: (named, rows, sentAt) =>
-          this.#noteEvacuations(evacuations.noteConflict(named, rows, sentAt)),
-        onDurable: (jobs) => this.#noteDurable(jobs),
-        onAccepted: (rows) => this.#takeUpAccepted(rows),
-        onCancelled: (job) => this.#book.cancel(job),
-        onRemoved: (job) => this.#book.jobs.delete(job.id),
-        onDeposed: options.onDeposed,
+          this.#applyEvacuations(evacuations.noteConflict(named, rows, sentAt)),
+        onDurable: (jobs) => this.#onDurable(jobs),
+        onAccepted: (rows) => this.#addAccepted(rows),
+        onCancelled: (job) => this.#registry.cancelJob(job),
+        onRemoved: (job) => this.#registry.jobs.delete(job.id),
+        onOwnershipLost: options.onOwnershipLost,
       },
     });
   }
 
-  get #book(): RunBook {
+  get #registry(): RunRegistry {
     return this.#scheduler.book;
   }
 
   start(): void {
-    this.#follower.start();
+    this.#jobFollower.start();
     this.#evacuationWatch.start();
-    this.#sweeper.start();
+    this.#endedJobSweeper.start();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#follower.stop();
+    this.#jobFollower.stop();
     this.#evacuationWatch.stop();
-    this.#sweeper.stop();
-    this.#writer.stop();
+    this.#endedJobSweeper.stop();
+    this.#progressWriter.stop();
     clearTimeout(this.#passTimer);
   }
 
   /** A row that an entry has written: the feed may tell of it a second later. */
-  noteWritten(row: Row): void {
-    this.#view.apply({ ...row, deleted: false });
+  applyWrittenRow(row: Row): void {
+    this.#jobView.apply({ ...row, deleted: false });
   }
 
   /** Accepts a job with the owner's next write. Throws ProblemError `not-owner` before the books are read: nothing was done. */
   async accept(call: AcceptanceCall): Promise<AcceptanceResult> {
-    if (!this.#loaded || this.#stopped) throw notOwner();
-    if (this.#view.get(call.jobId) !== undefined) return { outcome: 'exists' };
-    const result = await this.#writer.accept(call);
+    if (!this.#loaded || this.#stopped) throw notOwnerError();
+    if (this.#jobView.get(call.jobId) !== undefined) return { outcome: 'exists' };
+    const result = await this.#progressWriter.accept(call);
     this.#options.ctx.metrics.count(`owner.accept-${result.outcome}`);
     return result;
   }
 
   /** How many jobs of a queue wait; undefined before the books are read. */
-  waiting(queue: string): number | undefined {
-    return this.#loaded && !this.#stopped ? this.#view.waiting(queue) : undefined;
+  countWaiting(queue: string): number | undefined {
+    return this.#loaded && !this.#stopped ? this.#jobView.waiting(queue) : undefined;
   }
 
-  #noteJob(known: KnownJob): void {
+  #onJobChanged(known: KnownJob): void {
     if (!this.#loaded || this.#stopped) return;
-    const own = this.#book.jobs.get(known.id);
+    const own = this.#registry.jobs.get(known.id);
     if (own !== undefined) {
-      if (known.cancelled && !own.cancelled) this.#book.cancel(own);
-      this.#wantPass();
+      if (known.cancelled && !own.cancelled) this.#registry.cancelJob(own);
+      this.#schedulePass();
       return;
     }
     // A job that this owner has ended isn't taken up again, also when a feed that is behind tells of it only now.
-    if (this.#book.ended.has(known.id) || known.progressVersion > 0) return;
+    if (this.#registry.endedJobs.has(known.id) || known.progressVersion > 0) return;
     this.#scheduler.add(known);
-    this.#wantPass();
+    this.#schedulePass();
   }
 
   /** Takes up what a guard tells and answers its orders. Throws ProblemError `not-owner` before the books are read. */
-  contact(req: CellContact, peer: Peer): CellOrders {
-    if (!this.#loaded || this.#stopped) throw notOwner();
+  handleContact(req: CellContact, peer: Peer): CellOrders {
+    if (!this.#loaded || this.#stopped) throw notOwnerError();
     const { term } = this.#options;
     const vm = peer.process.id;
     this.#options.ctx.metrics.count('owner.contact');
-    this.#guards.set(vm, peer);
-    const worker = this.#book.fleet.get(vm);
-    this.#grantReturned(worker, req);
-    if (takeUpContact(this.#book, worker, req)) this.#wantPass();
-    const orders = ordersFor(this.#book, worker, req);
+    this.#guardPeers.set(vm, peer);
+    const worker = this.#registry.fleet.get(vm);
+    this.#grantToReplacedRunner(worker, req);
+    if (applyContact(this.#registry, worker, req)) this.#schedulePass();
+    const orders = ordersFor(this.#registry, worker, req);
     const unconfirmedMs = this.#unconfirmedMs();
     const told = { term, unconfirmedMs, ...orders };
-    if (unconfirmedMs >= UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
+    if (unconfirmedMs >= LEASE_MAX_UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
     const leaseMs = leaseLengthMs(worker.runner, this.#options.leaseMs);
-    worker.grant(this.#book.now(), leaseMs);
+    worker.grant(this.#registry.now(), leaseMs);
     return { ...told, leaseMs };
   }
 
   /** Calls that were meant for the life before may have given the one that took its id the longest lease there is. */
-  #grantReturned(worker: Worker, { runner }: CellContact): void {
+  #grantToReplacedRunner(worker: Worker, { runner }: CellContact): void {
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
     if (runnerIdOf(earlier) !== runnerIdOf(runner.id)) return;
-    worker.grant(this.#book.now(), this.#options.leaseMs);
+    worker.grant(this.#registry.now(), this.#options.leaseMs);
   }
 
   /** At once, so that what starts of them goes with the next write of a slow store, not with the one after. */
-  #takeUpAccepted(rows: readonly Row[]): void {
-    rows.forEach((row) => this.noteWritten(row));
-    this.#pass();
+  #addAccepted(rows: readonly Row[]): void {
+    rows.forEach((row) => this.applyWrittenRow(row));
+    this.#runPass();
   }
 
   #unconfirmedMs(): number {
-    return this.#book.now() - this.#options.confirmedAt();
+    return this.#registry.now() - this.#options.confirmedAt();
   }
 
-  #open(rows: number): void {
+  #onLoaded(rows: number): void {
     if (this.#stopped) return;
     const { ctx, term } = this.#options;
-    [...this.#view.all()].forEach((known) => this.#scheduler.add(known));
+    [...this.#jobView.all()].forEach((known) => this.#scheduler.add(known));
     this.#loaded = true;
-    ctx.log.info({ term, jobs: this.#book.jobs.size, rows }, 'owner at work');
-    this.#pass();
+    ctx.log.info({ term, jobs: this.#registry.jobs.size, rows }, 'owner at work');
+    this.#runPass();
   }
 
-  #noteEvacuations(changes: readonly EvacuationChange[]): void {
+  #applyEvacuations(changes: readonly EvacuationChange[]): void {
     if (this.#stopped) return;
     this.#scheduler.noteEvacuations(changes);
-    if (changes.length > 0) this.#wantPass();
+    if (changes.length > 0) this.#schedulePass();
   }
 
-  #wantPass(): void {
-    if (this.#passDue || this.#stopped) return;
-    this.#passDue = true;
+  #schedulePass(): void {
+    if (this.#passScheduled || this.#stopped) return;
+    this.#passScheduled = true;
     clearTimeout(this.#passTimer);
-    const pauseMs = Math.max(0, this.#passedAt + PASS_PAUSE_MS - this.#book.now());
-    this.#passTimer = setTimeout(() => this.#pass(), pauseMs);
+    const pauseMs = Math.max(0, this.#lastPassAt + MIN_PASS_INTERVAL_MS - this.#registry.now());
+    this.#passTimer = setTimeout(() => this.#runPass(), pauseMs);
   }
 
-  #pass(): void {
-    this.#passDue = false;
+  #runPass(): void {
+    this.#passScheduled = false;
     if (this.#stopped || !this.#loaded) return;
     clearTimeout(this.#passTimer);
-    this.#passTimer = setTimeout(() => this.#pass(), PASS_EVERY_MS);
-    const startedAt = this.#book.now();
-    this.#passedAt = startedAt;
-    if (this.#unconfirmedMs() > DECIDE_WITHIN_MS) return;
+    this.#passTimer = setTimeout(() => this.#runPass(), PASS_INTERVAL_MS);
+    const startedAt = this.#registry.now();
+    this.#lastPassAt = startedAt;
+    if (this.#unconfirmedMs() > DECISION_MAX_UNCONFIRMED_MS) return;
     try {
       const questions = this.#scheduler.pass();
       this.#adviceDesk?.want(questions);
@@ -328,23 +328,23 @@
       this.#options.ctx.metrics.count('pass.failed');
       this.#options.ctx.log.error({ err }, 'a placing pass failed');
     }
-    this.#options.ctx.metrics.timing('pass', this.#book.now() - startedAt);
+    this.#options.ctx.metrics.timing('pass', this.#registry.now() - startedAt);
   }
 
-  #noteDurable(jobs: readonly OwnedJob[]): void {
+  #onDurable(jobs: readonly OwnedJob[]): void {
     const ids = new Set(jobs.map(({ id }) => id));
-    this.#book.fleet.concernedBy(ids).forEach(({ vm }) => this.#poke(vm));
-    this.#wantPass();
+    this.#registry.fleet.concernedBy(ids).forEach(({ vm }) => this.#notifyGuard(vm));
+    this.#schedulePass();
   }
 
   /** Makes the guard come for its orders. If that fails, its next contact brings them. */
-  #poke(vm: string): void {
-    const peer = this.#guards.get(vm);
-    if (peer === undefined || peer.closed || this.#poking.has(vm) || this.#stopped) return;
-    this.#poking.add(vm);
+  #notifyGuard(vm: string): void {
+    const peer = this.#guardPeers.get(vm);
+    if (peer === undefined || peer.closed || this.#notifying.has(vm) || this.#stopped) return;
+    this.#notifying.add(vm);
     setImmediate(() => {
-      this.#poking.delete(vm);
-      peer.call('cell.poke', {}, { timeoutMs: POKE_TIMEOUT_MS }).catch((err: unknown) => {
+      this.#notifying.delete(vm);
+      peer.call('cell.poke', {}, { timeoutMs: NOTIFY_TIMEOUT_MS }).catch((err: unknown) => {
         this.#options.ctx.metrics.count('owner.poke-failed');
         this.#options.ctx.log.info({ vm, err: String(err) }, 'poking a guard failed');
       });
@@ -353,7 +353,7 @@
 }
 
 /** Thrown to a guard that calls the wrong entry. */
-export function notOwner(): ProblemError {
+export function notOwnerError(): ProblemError {
   return new ProblemError(
     problem('not-owner', {
       detail: 'This entry does not own the cell, or has not read its jobs yet.',
--- a/packages/cell/src/owner/cell-steps.support.ts
+++ b/packages/cell/src/owner/cell-test-context.support.ts
@@ -4,7 +4,7 @@
 import { CellWorld, eventually, submit } from '../testing/cell-world.support.js';
 
 /** What the steps of a scenario share. */
-export interface CellSteps {
+export interface CellTestContext {
   cell?: CellWorld;
   jobs: string[];
   /** The owner's row as it was. */
@@ -17,54 +17,54 @@
 export type Worker = CellWorld['workers'][number];
 
 /** The cell of this scenario. */
-export function cellOf({ cell }: CellSteps): CellWorld {
+export function cellOf({ cell }: CellTestContext): CellWorld {
   assert.ok(cell);
   return cell;
 }
 
 /** The first job that was handed in. */
-export function jobOf({ jobs }: CellSteps): string {
+export function firstJob({ jobs }: CellTestContext): string {
   const [id] = jobs;
   assert.ok(id !== undefined);
   return id;
 }
 
 /** The entry that owns the cell. */
-export function ownerOf(world: CellSteps): Entry {
+export function ownerEntry(world: CellTestContext): Entry {
   const owner = cellOf(world).owner();
   assert.ok(owner);
   return owner;
 }
 
 /** One that doesn't. */
-export function otherEntry(world: CellSteps): Entry {
-  const owner = ownerOf(world);
+export function nonOwnerEntry(world: CellTestContext): Entry {
+  const owner = ownerEntry(world);
   const other = cellOf(world).entries.find((entry) => entry !== owner);
   assert.ok(other);
   return other;
 }
 
 /** A worker on which something runs. */
-export function runningWorker(world: CellSteps): Worker {
+export function runningWorker(world: CellTestContext): Worker {
   const worker = cellOf(world).workers.find(({ runner }) => runner.life?.running().length);
   assert.ok(worker);
   return worker;
 }
 
 /** Hands a job in, at an entry that does not own the cell unless said otherwise. */
-export async function handIn(
-  world: CellSteps,
+export async function submitJob(
+  world: CellTestContext,
   options: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule']; entry?: Entry },
 ): Promise<void> {
   const cell = cellOf(world);
   const id = cell.newJobId();
   world.jobs.push(id);
-  const { entry = otherEntry(world), ...job } = options;
+  const { entry = nonOwnerEntry(world), ...job } = options;
   assert.equal(await submit(entry, id, job), 'accepted');
 }
 
 /** Waits until something runs. */
-export async function hasBegun(world: CellSteps): Promise<void> {
+export async function waitUntilRunning(world: CellTestContext): Promise<void> {
   const running = () => cellOf(world).workers.some(({ runner }) => runner.life?.running().length);
   assert.ok(await eventually(() => running() ?? false));
 }
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -8,17 +8,17 @@
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
-  hasBegun,
-  handIn,
-  jobOf,
-  otherEntry,
-  ownerOf,
-  type CellSteps,
-} from './cell-steps.support.js';
+  waitUntilRunning,
+  submitJob,
+  firstJob,
+  nonOwnerEntry,
+  ownerEntry,
+  type CellTestContext,
+} from './cell-test-context.support.js';
 
 Given(
   'a cell of {int} entries and {int} worker(s)',
-  async function (this: CellSteps, entries: number, workers: number) {
+  async function (this: CellTestContext, entries: number, workers: number) {
     const cell = new CellWorld();
     this.cell = cell;
     this.jobs = [];
@@ -26,32 +26,32 @@
   },
 );
 
-After(async function (this: CellSteps) {
+After(async function (this: CellTestContext) {
   await this.cell?.stop();
 });
 
-Then('its second run has begun within 1 s', async function (this: CellSteps) {
-  const hasTwo = (): boolean => cellOf(this).starts(jobOf(this)).length === 2;
+Then('its second run has begun within 1 s', async function (this: CellTestContext) {
+  const hasTwo = (): boolean => cellOf(this).starts(firstJob(this)).length === 2;
   assert.ok(await eventually(hasTwo, 1000));
 });
 
-When('a job is handed in at that entry', async function (this: CellSteps) {
+When('a job is handed in at that entry', async function (this: CellTestContext) {
   const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
-  await handIn(this, { entry: cutOff });
+  await submitJob(this, { entry: cutOff });
 });
 
 When(
   'a job of two steps, the second after the first, is handed in',
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const steps = [testStep({ tasks: 2 }), testStep({ after: [0] })];
-    await handIn(this, { steps, spec: { workMs: 150 } });
+    await submitJob(this, { steps, spec: { workMs: 150 } });
   },
 );
 
-When('a gang of {int} tasks is handed in', async function (this: CellSteps, tasks: number) {
+When('a gang of {int} tasks is handed in', async function (this: CellTestContext, tasks: number) {
   const steps = [testStep({ tasks, gang: true, demand: gangDemand() })];
-  await handIn(this, { steps, spec: { workMs: 150, gangs: { 0: tasks } } });
+  await submitJob(this, { steps, spec: { workMs: 150, gangs: { 0: tasks } } });
 });
 
 /** Two members to a worker, so that a gang spans several. */
@@ -59,49 +59,55 @@
   return { milliCores: 1000, memoryMb: 100, accelerators: 4 };
 }
 
-When('a job whose first run fails is handed in', async function (this: CellSteps) {
-  await handIn(this, { spec: { workMs: 50, failRuns: 1 } });
+When('a job whose first run fails is handed in', async function (this: CellTestContext) {
+  await submitJob(this, { spec: { workMs: 50, failRuns: 1 } });
 });
 
-When('a job whose runs all fail is handed in', async function (this: CellSteps) {
-  await handIn(this, { spec: { workMs: 50, failRuns: 9 } });
+When('a job whose runs all fail is handed in', async function (this: CellTestContext) {
+  await submitJob(this, { spec: { workMs: 50, failRuns: 9 } });
 });
 
-When('a job that takes long is handed in and has begun', async function (this: CellSteps) {
-  await handIn(this, { steps: [testStep({ tasks: 3 })], spec: { workMs: 60_000 } });
-  await hasBegun(this);
+When('a job that takes long is handed in and has begun', async function (this: CellTestContext) {
+  await submitJob(this, { steps: [testStep({ tasks: 3 })], spec: { workMs: 60_000 } });
+  await waitUntilRunning(this);
 });
 
 When(
   /^a job that takes (\d) s is handed in and has begun$/,
-  async function (this: CellSteps, seconds: string) {
-    await handIn(this, { spec: { workMs: Number(seconds) * 1000 } });
-    await hasBegun(this);
+  async function (this: CellTestContext, seconds: string) {
+    await submitJob(this, { spec: { workMs: Number(seconds) * 1000 } });
+    await waitUntilRunning(this);
   },
 );
 
 When(
   'a job that takes 3 s is handed in at the owner and has begun',
-  async function (this: CellSteps) {
-    await handIn(this, { spec: { workMs: 3000 }, entry: ownerOf(this) });
-    await hasBegun(this);
+  async function (this: CellTestContext) {
+    await submitJob(this, { spec: { workMs: 3000 }, entry: ownerEntry(this) });
+    await waitUntilRunning(this);
   },
 );
 
-When('a job that is said to take 6 s is handed in and has begun', async function (this: CellSteps) {
-  await handIn(this, { steps: [testStep({ estimateMs: 6000 })], spec: { workMs: 6000 } });
-  await hasBegun(this);
-});
+When(
+  'a job that is said to take 6 s is handed in and has begun',
+  async function (this: CellTestContext) {
+    await submitJob(this, { steps: [testStep({ estimateMs: 6000 })], spec: { workMs: 6000 } });
+    await waitUntilRunning(this);
+  },
+);
 
-When(/^a job that takes (\d) s is handed in$/, async function (this: CellSteps, seconds: string) {
-  await handIn(this, { spec: { workMs: Number(seconds) * 1000 } });
-});
+When(
+  /^a job that takes (\d) s is handed in$/,
+  async function (this: CellTestContext, seconds: string) {
+    await submitJob(this, { spec: { workMs: Number(seconds) * 1000 } });
+  },
+);
 
 When(
   /^a job with checkpoints that takes (\d) s is handed in and has worked for \d s$/,
-  async function (this: CellSteps, seconds: string) {
+  async function (this: CellTestContext, seconds: string) {
     const steps = [testStep({ checkpointing: true })];
-    await handIn(this, { steps, spec: { workMs: Number(seconds) * 1000, checkpointMs: 100 } });
+    await submitJob(this, { steps, spec: { workMs: Number(seconds) * 1000, checkpointMs: 100 } });
     const worked = () =>
       cellOf(this).workers.some(({ runner }) =>
         runner.life?.running().some(({ percent }) => percent >= 50),
@@ -110,12 +116,12 @@
   },
 );
 
-When('it is cancelled', async function (this: CellSteps) {
-  const { outcome } = await otherEntry(this).app.calls.cancel(callOf(jobOf(this)));
+When('it is cancelled', async function (this: CellTestContext) {
+  const { outcome } = await nonOwnerEntry(this).app.calls.cancel(callOf(firstJob(this)));
   assert.equal(outcome, 'cancelled');
 });
 
-When('the same job is handed in at both entries at once', async function (this: CellSteps) {
+When('the same job is handed in at both entries at once', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
@@ -123,55 +129,58 @@
   assert.deepEqual(outcomes, ['accepted', 'accepted']);
 });
 
-When('a job is handed in at that entry, and again at the other', async function (this: CellSteps) {
-  const cell = cellOf(this);
-  const id = cell.newJobId();
-  this.jobs.push(id);
-  const first = await submit(otherEntry(this), id);
-  assert.ok(['unknown', 'accepted'].includes(first));
-  otherEntry(this).store.fault = 'none';
-  assert.equal(await submit(ownerOf(this), id), 'accepted');
-});
+When(
+  'a job is handed in at that entry, and again at the other',
+  async function (this: CellTestContext) {
+    const cell = cellOf(this);
+    const id = cell.newJobId();
+    this.jobs.push(id);
+    const first = await submit(nonOwnerEntry(this), id);
+    assert.ok(['unknown', 'accepted'].includes(first));
+    nonOwnerEntry(this).store.fault = 'none';
+    assert.equal(await submit(ownerEntry(this), id), 'accepted');
+  },
+);
 
-When('a job is handed in at the other entry', async function (this: CellSteps) {
-  await handIn(this, {});
+When('a job is handed in at the other entry', async function (this: CellTestContext) {
+  await submitJob(this, {});
 });
 
-Then('it completes', { timeout: 30_000 }, async function (this: CellSteps) {
+Then('it completes', { timeout: 30_000 }, async function (this: CellTestContext) {
   const cell = cellOf(this);
-  const isComplete = async () => (await cell.state(jobOf(this))) === 'completed';
-  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.state(jobOf(this))}`);
+  const isComplete = async () => (await cell.state(firstJob(this))) === 'completed';
+  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.state(firstJob(this))}`);
 });
 
-Then('all of them complete', async function (this: CellSteps) {
+Then('all of them complete', async function (this: CellTestContext) {
   const states = () => Promise.all(this.jobs.map((id) => cellOf(this).state(id)));
   assert.ok(await eventually(async () => (await states()).every((s) => s === 'completed')));
 });
 
-Then('no row of it is left soon after', async function (this: CellSteps) {
+Then('no row of it is left soon after', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const isGone = () =>
     cell.tables
       .read({ table: 'jobs', part: '' })
-      .rows.every(({ key }) => !key.startsWith(jobOf(this)));
+      .rows.every(({ key }) => !key.startsWith(firstJob(this)));
   assert.ok(await eventually(isGone, 4000));
 });
 
-Then('a job handed in is refused as not accepted', async function (this: CellSteps) {
-  assert.equal(await submit(otherEntry(this), cellOf(this).newJobId()), 'not-accepted');
+Then('a job handed in is refused as not accepted', async function (this: CellTestContext) {
+  assert.equal(await submit(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
 });
 
-Then('it fails', async function (this: CellSteps) {
+Then('it fails', async function (this: CellTestContext) {
   const cell = cellOf(this);
-  assert.ok(await eventually(async () => (await cell.state(jobOf(this))) === 'failed'));
+  assert.ok(await eventually(async () => (await cell.state(firstJob(this))) === 'failed'));
 });
 
-Then('it is shown as cancelled', async function (this: CellSteps) {
-  assert.equal(await cellOf(this).state(jobOf(this)), 'cancelled');
+Then('it is shown as cancelled', async function (this: CellTestContext) {
+  assert.equal(await cellOf(this).state(firstJob(this)), 'cancelled');
 });
 
-Then('its second step began after all of the first had ended', function (this: CellSteps) {
-  const starts = cellOf(this).starts(jobOf(this));
+Then('its second step began after all of the first had ended', function (this: CellTestContext) {
+  const starts = cellOf(this).starts(firstJob(this));
   const second = starts.find(({ task }) => task.split('.')[2] === '1');
   const first = starts.filter(({ task }) => task.split('.')[2] === '0');
   assert.ok(second);
@@ -181,63 +190,66 @@
 
 Then(
   'its {int} tasks ran once each, under the same run number',
-  function (this: CellSteps, tasks: number) {
-    const starts = cellOf(this).starts(jobOf(this));
+  function (this: CellTestContext, tasks: number) {
+    const starts = cellOf(this).starts(firstJob(this));
     assert.equal(new Set(starts.map(({ task }) => task)).size, tasks);
     assert.equal(starts.length, tasks);
     assert.equal(new Set(starts.map(({ run }) => run)).size, 1);
   },
 );
 
-Then(/^its task ran (once|twice)$/, function (this: CellSteps, times: string) {
-  assert.equal(cellOf(this).starts(jobOf(this)).length, times === 'once' ? 1 : 2);
+Then(/^its task ran (once|twice)$/, function (this: CellTestContext, times: string) {
+  assert.equal(cellOf(this).starts(firstJob(this)).length, times === 'once' ? 1 : 2);
 });
 
-Then('nothing of it runs soon after', async function (this: CellSteps) {
+Then('nothing of it runs soon after', async function (this: CellTestContext) {
   const running = () =>
     cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []).length;
   assert.ok(await eventually(() => running() === 0, 2000));
-  const { length } = cellOf(this).starts(jobOf(this));
+  const { length } = cellOf(this).starts(firstJob(this));
   await pause(500);
-  assert.equal(cellOf(this).starts(jobOf(this)).length, length);
+  assert.equal(cellOf(this).starts(firstJob(this)).length, length);
 });
 
-Then('the other entry owns the cell soon after', async function (this: CellSteps) {
+Then('the other entry owns the cell soon after', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const before = cell.owner();
   assert.ok(await eventually(() => cell.owner() !== before, 6000));
 });
 
-Then('its second run began later than the lease of the first', function (this: CellSteps) {
-  const [first, second] = cellOf(this).starts(jobOf(this));
+Then('its second run began later than the lease of the first', function (this: CellTestContext) {
+  const [first, second] = cellOf(this).starts(firstJob(this));
   assert.ok(first && second);
   assert.ok(second.at - first.at >= TEST_LEASE_MS * SLOW_CLOCK);
 });
 
-Then('no two runs of its task were at work at a time', function (this: CellSteps) {
-  const starts = cellOf(this).starts(jobOf(this));
+Then('no two runs of its task were at work at a time', function (this: CellTestContext) {
+  const starts = cellOf(this).starts(firstJob(this));
   starts.slice(1).forEach(({ at }, index) => {
     const before = starts[index];
     assert.ok(before && at - before.at >= 1000);
   });
 });
 
-Then('its second run continued from a checkpoint', function (this: CellSteps) {
-  const [, second] = cellOf(this).starts(jobOf(this));
+Then('its second run continued from a checkpoint', function (this: CellTestContext) {
+  const [, second] = cellOf(this).starts(firstJob(this));
   assert.ok(Number(second?.checkpoint) >= 500);
 });
 
-Then('a job with that key is refused there as not authenticated', async function (this: CellSteps) {
-  const cell = cellOf(this);
-  assert.equal(await submit(otherEntry(this), cell.newJobId()), 'not-authenticated');
-});
+Then(
+  'a job with that key is refused there as not authenticated',
+  async function (this: CellTestContext) {
+    const cell = cellOf(this);
+    assert.equal(await submit(nonOwnerEntry(this), cell.newJobId()), 'not-authenticated');
+  },
+);
 
 Then(
   'a job handed in there is refused as not accepted within {int} ms',
-  async function (this: CellSteps, limitMs: number) {
+  async function (this: CellTestContext, limitMs: number) {
     const cell = cellOf(this);
     const startedAt = performance.now();
-    assert.equal(await submit(otherEntry(this), cell.newJobId()), 'not-accepted');
+    assert.equal(await submit(nonOwnerEntry(this), cell.newJobId()), 'not-accepted');
     assert.ok(performance.now() - startedAt < limitMs);
   },
 );
--- a/packages/cell/src/owner/changing-room.steps.ts
+++ b/packages/cell/src/owner/changing-room.steps.ts
@@ -4,7 +4,7 @@
 import { eventually } from '../testing/cell-world.support.js';
 import { sendHeartbeat } from '../testing/worker-vm.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
-import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
+import { cellOf, submitJob, firstJob, type CellTestContext } from './cell-test-context.support.js';
 
 /** A contact later the owner knows what a heartbeat said, in ms. */
 const KNOWN_AFTER_MS = 1200;
@@ -12,14 +12,14 @@
 /** Looks this often at what runs, in ms. */
 const LOOK_EVERY_MS = 20;
 
-function runningNow(world: CellSteps): number {
+function runningNow(world: CellTestContext): number {
   const [worker] = cellOf(world).workers;
   return worker?.runner.life?.running().length ?? 0;
 }
 
 When(
   'its runner says that it has room for {int} accelerators',
-  async function (this: CellSteps, accelerators: number) {
+  async function (this: CellTestContext, accelerators: number) {
     const [worker] = cellOf(this).workers;
     assert.ok(worker);
     const grows = accelerators > worker.accelerators;
@@ -31,9 +31,9 @@
 
 When(
   /^a job of (\d+) tasks? that takes? (\d) s is handed in( and all have begun)?$/,
-  async function (this: CellSteps, tasks: string, seconds: string, begun: string | null) {
+  async function (this: CellTestContext, tasks: string, seconds: string, begun: string | null) {
     const steps = [testStep({ tasks: Number(tasks) })];
-    await handIn(this, { steps, spec: { workMs: Number(seconds) * 1000 } });
+    await submitJob(this, { steps, spec: { workMs: Number(seconds) * 1000 } });
     if (begun === null) return;
     assert.ok(await eventually(() => runningNow(this) === Number(tasks)));
   },
@@ -42,9 +42,9 @@
 Then(
   'no more than {int} of its tasks ever run at once',
   { timeout: 15_000 },
-  async function (this: CellSteps, most: number) {
+  async function (this: CellTestContext, most: number) {
     let seen = 0;
-    while ((await cellOf(this).state(jobOf(this))) !== 'completed') {
+    while ((await cellOf(this).state(firstJob(this))) !== 'completed') {
       seen = Math.max(seen, runningNow(this));
       await pause(LOOK_EVERY_MS);
     }
@@ -55,7 +55,7 @@
 Then(
   'the second job begins only after the first has ended',
   { timeout: 15_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = cellOf(this);
     const [first, second] = this.jobs;
     assert.ok(first !== undefined && second !== undefined);
@@ -64,9 +64,9 @@
   },
 );
 
-Then('its tasks ran once each', function (this: CellSteps) {
+Then('its tasks ran once each', function (this: CellTestContext) {
   const runs = cellOf(this)
-    .starts(jobOf(this))
+    .starts(firstJob(this))
     .map(({ run }) => run);
   assert.deepEqual(
     runs,
@@ -74,7 +74,7 @@
   );
 });
 
-Then(/^its first run has begun within 0.8 s$/, async function (this: CellSteps) {
-  const hasBegun = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
+Then(/^its first run has begun within 0.8 s$/, async function (this: CellTestContext) {
+  const hasBegun = (): boolean => cellOf(this).starts(firstJob(this)).length > 0;
   assert.ok(await eventually(hasBegun, 800));
 });
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -11,15 +11,15 @@
 import { isSameDemand } from '../job/submission.js';
 import { parseTaskName, runKey } from '../job/task-name.js';
 import type { Assignment, Worker } from '../worker/worker.js';
-import { takeUpCrash, takeUpUntoldCrash } from './crash-report.js';
-import type { RunBook } from './run-book.js';
+import { recordReportedCrash, recordUnreportedCrash } from './crash-attribution.js';
+import type { RunRegistry } from './run-registry.js';
 import { noteUnaccounted } from './unaccounted-runs.js';
 
 /** A worker that refused a start for want of room is left alone this long, in ms: a stop takes about as long. */
-const ROOM_PAUSE_MS = 300;
+const NO_ROOM_BACKOFF_MS = 300;
 
 /** One whose runner didn't answer, or says that it is unhealthy, in ms. */
-const UNAVAILABLE_PAUSE_MS = 2000;
+const UNAVAILABLE_BACKOFF_MS = 2000;
 
 /** Orders without what the term says of itself. */
 export type RunnerOrders = Omit<CellOrders, 'term' | 'leaseMs' | 'unconfirmedMs'>;
@@ -33,32 +33,32 @@
 };
 
 /** Takes up one contact. True if it may let something start or stop; most tell of progress only. */
-export function takeUpContact(book: RunBook, worker: Worker, contact: CellContact): boolean {
+export function applyContact(registry: RunRegistry, worker: Worker, contact: CellContact): boolean {
   const earlier = worker.runner;
-  const wasThere = book.fleet.isPlaceable(worker);
+  const wasThere = registry.fleet.isPlaceable(worker);
   const earlierLife = earlier?.id;
   const runsBefore = worker.assignments.size;
-  worker.noteContact(book.now(), contact.runner);
+  worker.noteContact(registry.now(), contact.runner);
   if (contact.runner !== undefined && contact.runner.id !== earlierLife) {
-    book.log('runner known', { vm: worker.vm, runner: contact.runner.id, earlierLife });
+    registry.log('runner known', { vm: worker.vm, runner: contact.runner.id, earlierLife });
   }
-  contact.ends.forEach((end) => takeUpEnd(book, worker, end));
-  contact.refused.forEach((refused) => takeUpRefusal(book, worker, refused));
+  contact.ends.forEach((end) => applyEnd(registry, worker, end));
+  contact.refused.forEach((refused) => applyRefusal(registry, worker, refused));
   contact.running.forEach((status) => {
     const assignment = assignmentOf(worker, status);
     if (assignment === undefined) return;
     if (assignment.runningAt === undefined || status.percent > assignment.percent) {
-      assignment.progressAt = book.now();
+      assignment.progressAt = registry.now();
     }
     if (assignment.runningAt === undefined) assignment.firstPercent = status.percent;
-    assignment.runningAt ??= book.now();
+    assignment.runningAt ??= registry.now();
     assignment.percent = status.percent;
     assignment.checkpoint = status.checkpoint;
   });
-  if (contact.crash !== undefined) takeUpCrash(book, worker, contact.crash);
-  noteUntoldCrash(book, worker, { earlier, contact });
-  loseWhatCannotRun(book, worker, contact);
-  watchServing(book, worker, contact);
+  if (contact.crash !== undefined) recordReportedCrash(registry, worker, contact.crash);
+  noteUnreportedCrash(registry, worker, { earlier, contact });
+  markImpossibleRunsLost(registry, worker, contact);
+  adjustPace(registry, worker, contact);
   const { runner, ends, refused } = contact;
   const isOther = !isSameRunner(runner, earlier);
   const hasChanged = worker.assignments.size !== runsBefore;
@@ -72,22 +72,26 @@
 }
 
 /** Sets the pace of what fills the worker by how its serving tasks do. */
-function watchServing(book: RunBook, worker: Worker, { running }: CellContact): void {
+function adjustPace(registry: RunRegistry, worker: Worker, { running }: CellContact): void {
   const paces = running.flatMap(({ pace }) => pace ?? []);
   if (paces.length > 0) worker.pacer.adopt(Math.min(...paces));
   const serving = running.flatMap((status) => {
-    const targetMs = book.stepOf(assignmentOf(worker, status))?.targetMs;
+    const targetMs = registry.stepOf(assignmentOf(worker, status))?.targetMs;
     return targetMs === undefined ? [] : [{ tailMs: status.load ?? 0, targetMs }];
   });
   const before = worker.pacer.percent;
-  worker.pacer.look(serving, book.now());
+  worker.pacer.look(serving, registry.now());
   const { percent } = worker.pacer;
-  if (percent !== before) book.log('worker paced', { vm: worker.vm, percent, before, serving });
+  if (percent !== before) registry.log('worker paced', { vm: worker.vm, percent, before, serving });
 }
 
 /** What is to be so: starts that aren't known there yet, stops of what shouldn't run. */
-export function ordersFor(book: RunBook, worker: Worker, contact: CellContact): RunnerOrders {
-  const confirmedEnd = book.confirmEnds(worker);
+export function ordersFor(
+  registry: RunRegistry,
+  worker: Worker,
+  contact: CellContact,
+): RunnerOrders {
+  const confirmedEnd = registry.confirmEnds(worker);
   // Without a runner's listing nothing follows from what isn't listed.
   if (contact.runner === undefined) return { ...NO_ORDERS };
   const known = new Set(
@@ -100,39 +104,43 @@
   const unstarted = here.filter((assignment) => !known.has(runKey(toRunName(assignment))));
   // Placed anew once it is barred.
   unstarted
-    .filter((assignment) => book.orders.lacksTicket(assignment))
-    .forEach((assignment) => book.stop(assignment, 'ticket expired'));
+    .filter((assignment) => registry.orders.lacksTicket(assignment))
+    .forEach((assignment) => registry.stopRun(assignment, 'ticket expired'));
   const listed = [...contact.running, ...contact.inProgress].filter(
-    (run) => !book.orders.mayGoOn(assignmentOf(worker, run)),
+    (run) => !registry.orders.mayGoOn(assignmentOf(worker, run)),
   );
-  const wanted = unstarted.filter((assignment) => book.orders.isWanted(assignment));
-  const ordered = wanted.filter((assignment) => book.orders.mayOrder(assignment, worker));
-  const starts = ordered.map((assignment): StartOrder => book.orders.orderFor(assignment));
+  const wanted = unstarted.filter((assignment) => registry.orders.isWanted(assignment));
+  const ordered = wanted.filter((assignment) => registry.orders.mayOrder(assignment, worker));
+  const starts = ordered.map((assignment): StartOrder => registry.orders.orderFor(assignment));
   // Not listed and not to start: barred there, so that no late call starts it. Also of a job that is over, as nothing else would
   // ever ask what became of the run: a member of a gang that others' ends completed would keep its room for good.
   const barred = unstarted.filter((each) => !wanted.includes(each)).map(toRunName);
   const stops = [...listed, ...barred].map(({ task, run }) => ({ task, run }));
   // Neither told of nor ordered anything.
   noteUnaccounted(
-    book,
+    registry,
     worker,
     wanted.filter((each) => !ordered.includes(each)),
   );
-  return { runner, starts, stops, confirmedEnd, paces: pacesFor(book, worker, contact) };
+  return { runner, starts, stops, confirmedEnd, paces: paceOrdersFor(registry, worker, contact) };
 }
 
 /** Nothing, until something was paced here: a runner lets each run work in full by itself. */
-function pacesFor(book: RunBook, worker: Worker, { running }: CellContact): PaceOrder[] {
+function paceOrdersFor(
+  registry: RunRegistry,
+  worker: Worker,
+  { running }: CellContact,
+): PaceOrder[] {
   const { isPacing, percent } = worker.pacer;
   if (!isPacing) return [];
   return running
-    .filter((status) => book.stepOf(assignmentOf(worker, status))?.fills)
+    .filter((status) => registry.stepOf(assignmentOf(worker, status))?.fills)
     .map(({ task, run }) => ({ task, run, percent }));
 }
 
-function takeUpEnd(book: RunBook, worker: Worker, end: ListedEnd): void {
+function applyEnd(registry: RunRegistry, worker: Worker, end: ListedEnd): void {
   if (worker.hasEnd(end.number)) {
-    noteSkippedEnd(book, worker, end);
+    reportSkippedEnd(registry, worker, end);
     return;
   }
   const parsed = parseTaskName(end.task);
@@ -140,36 +148,36 @@
   const change =
     parsed === undefined
       ? undefined
-      : book.end(parsed.jobId, {
+      : registry.endRun(parsed.jobId, {
           ref: parsed.ref,
           run: end.run,
           how: end.how,
           checkpoint: end.checkpoint,
         });
-  if (assignment !== undefined) book.noteHealth(worker, assignment, end.how);
+  if (assignment !== undefined) registry.recordRunHealth(worker, assignment, end.how);
   worker.noteEnd(end.number, { jobId: parsed?.jobId ?? '', change: change ?? 0 });
   if (assignment !== undefined) worker.assignments.delete(assignment.name);
 }
 
 /** Its number says that it was taken up before, yet its run is still in the books: one of the two is wrong. */
-function noteSkippedEnd(book: RunBook, worker: Worker, end: ListedEnd): void {
+function reportSkippedEnd(registry: RunRegistry, worker: Worker, end: ListedEnd): void {
   if (assignmentOf(worker, end) === undefined) return;
   const { number, task, run, how } = end;
-  book.count('end.skipped');
-  book.log('end skipped', { vm: worker.vm, runner: worker.runner?.id, number, task, run, how });
+  registry.count('end.skipped');
+  registry.log('end skipped', { vm: worker.vm, runner: worker.runner?.id, number, task, run, how });
 }
 
-function takeUpRefusal(
-  book: RunBook,
+function applyRefusal(
+  registry: RunRegistry,
   worker: Worker,
   { task, run, reason }: CellContact['refused'][number],
 ): void {
   const assignment = assignmentOf(worker, { task, run });
   if (assignment === undefined) return;
-  if (reason === 'ticket') book.orders.noteTicketRefused(assignment);
-  if (reason === 'room') worker.avoid(book.now() + ROOM_PAUSE_MS);
-  if (reason === 'unavailable') worker.avoid(book.now() + UNAVAILABLE_PAUSE_MS);
-  book.lose(worker, assignment, `refused: ${reason}`);
+  if (reason === 'ticket') registry.orders.noteTicketRefused(assignment);
+  if (reason === 'room') worker.avoid(registry.now() + NO_ROOM_BACKOFF_MS);
+  if (reason === 'unavailable') worker.avoid(registry.now() + UNAVAILABLE_BACKOFF_MS);
+  registry.markLost(worker, assignment, `refused: ${reason}`);
 }
 
 /**
@@ -177,8 +185,8 @@
  * itself. What had begun there counts, with nothing known of its age: otherwise a guard that is lost with each crash would let a
  * task go on crashing runners.
  */
-function noteUntoldCrash(
-  book: RunBook,
+function noteUnreportedCrash(
+  registry: RunRegistry,
   worker: Worker,
   { earlier, contact }: { earlier: RunnerFacts | undefined; contact: CellContact },
 ): void {
@@ -188,14 +196,14 @@
   const begun = [...worker.assignments.values()].filter(
     ({ runner, runningAt }) => runner === earlier.id && runningAt !== undefined,
   );
-  begun.forEach((assignment) => takeUpUntoldCrash(book, worker, assignment));
+  begun.forEach((assignment) => recordUnreportedCrash(registry, worker, assignment));
 }
 
 /**
  * A new life of the runner runs nothing of the one before; without a lease nothing runs. What the new life tells of may run there
  * all the same: a start that was on its way reaches whichever life has the runner's id.
  */
-function loseWhatCannotRun(book: RunBook, worker: Worker, contact: CellContact): void {
+function markImpossibleRunsLost(registry: RunRegistry, worker: Worker, contact: CellContact): void {
   const { runner, running, inProgress } = contact;
   if (runner === undefined) return;
   const isTold = (assignment: Assignment): boolean =>
@@ -203,8 +211,8 @@
   [...worker.assignments.values()].forEach((assignment) => {
     // Nearly always all are of the present life, and nothing is looked up.
     const isOver = assignment.runner !== runner.id && !isTold(assignment);
-    if (isOver) book.lose(worker, assignment, 'runner replaced');
-    else if (runner.leaseLapsed) book.lose(worker, assignment, 'lease lapsed');
+    if (isOver) registry.markLost(worker, assignment, 'runner replaced');
+    else if (runner.leaseLapsed) registry.markLost(worker, assignment, 'lease lapsed');
   });
 }
 
--- a/packages/cell/src/owner/crashing-tasks.steps.ts
+++ b/packages/cell/src/owner/crashing-tasks.steps.ts
@@ -4,23 +4,23 @@
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
-  handIn,
-  jobOf,
-  ownerOf,
+  submitJob,
+  firstJob,
+  ownerEntry,
   runningWorker,
-  type CellSteps,
-} from './cell-steps.support.js';
+  type CellTestContext,
+} from './cell-test-context.support.js';
 
 /** Every run of the task crashes its runner. */
-const ALWAYS = 99;
+const CRASH_EVERY_RUN = 99;
 
 /** Some crashes, each with the time until the runner is back, in ms. */
-const GIVEN_UP_WITHIN_MS = 15_000;
+const GIVE_UP_TIMEOUT_MS = 15_000;
 
 /** States of a job that isn't over. */
 const OPEN_STATES = ['queued', 'running'];
 
-function mostStartsOfATask(world: CellSteps, job: string): number {
+function maxStartsPerTask(world: CellTestContext, job: string): number {
   const counts = new Map<string, number>();
   cellOf(world)
     .starts(job)
@@ -28,61 +28,77 @@
   return Math.max(0, ...counts.values());
 }
 
-Given('a guard is started anew whenever the runner beside it crashes', function (this: CellSteps) {
-  cellOf(this).crashesTakeGuards = true;
-});
+Given(
+  'a guard is started anew whenever the runner beside it crashes',
+  function (this: CellTestContext) {
+    cellOf(this).crashesTakeGuards = true;
+  },
+);
 
-When('a job whose runs all crash their runners is handed in', async function (this: CellSteps) {
-  await handIn(this, { spec: { crashRuns: ALWAYS } });
-});
+When(
+  'a job whose runs all crash their runners is handed in',
+  async function (this: CellTestContext) {
+    await submitJob(this, { spec: { crashRuns: CRASH_EVERY_RUN } });
+  },
+);
 
-When('a job whose first run crashes its runner is handed in', async function (this: CellSteps) {
-  await handIn(this, { spec: { crashRuns: 1, workMs: 300 } });
-});
+When(
+  'a job whose first run crashes its runner is handed in',
+  async function (this: CellTestContext) {
+    await submitJob(this, { spec: { crashRuns: 1, workMs: 300 } });
+  },
+);
 
 When(
   'a gang of {int} tasks, one of which crashes its runners, is handed in',
-  async function (this: CellSteps, tasks: number) {
+  async function (this: CellTestContext, tasks: number) {
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
     const steps = [testStep({ tasks, gang: true, demand })];
-    const spec = { crashRuns: ALWAYS, crashTasks: [1], gangs: { 0: tasks }, workMs: 300 };
-    await handIn(this, { steps, spec });
+    const spec = { crashRuns: CRASH_EVERY_RUN, crashTasks: [1], gangs: { 0: tasks }, workMs: 300 };
+    await submitJob(this, { steps, spec });
   },
 );
 
-When('{int} jobs that take 2 s are handed in', async function (this: CellSteps, count: number) {
-  for (let each = 0; each < count; each++) await handIn(this, { spec: { workMs: 2000 } });
-  const running = () => cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []);
-  assert.ok(await eventually(() => running().length === count));
-});
+When(
+  '{int} jobs that take 2 s are handed in',
+  async function (this: CellTestContext, count: number) {
+    for (let each = 0; each < count; each++) await submitJob(this, { spec: { workMs: 2000 } });
+    const running = () =>
+      cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []);
+    assert.ok(await eventually(() => running().length === count));
+  },
+);
 
-When('after its second start nothing happens', async function (this: CellSteps) {
-  assert.ok(await eventually(() => mostStartsOfATask(this, jobOf(this)) >= 2));
+When('after its second start nothing happens', async function (this: CellTestContext) {
+  assert.ok(await eventually(() => maxStartsPerTask(this, firstJob(this)) >= 2));
 });
 
-When('after its second start the loss of the owner happens', async function (this: CellSteps) {
-  assert.ok(await eventually(() => mostStartsOfATask(this, jobOf(this)) >= 2));
-  loseEntry(ownerOf(this));
-});
+When(
+  'after its second start the loss of the owner happens',
+  async function (this: CellTestContext) {
+    assert.ok(await eventually(() => maxStartsPerTask(this, firstJob(this)) >= 2));
+    loseEntry(ownerEntry(this));
+  },
+);
 
 Then(
   /^(?:it|the last of them) is given up$/,
   { timeout: 20_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const job = this.jobs.at(-1);
     assert.ok(job !== undefined);
     const isFailed = async (): Promise<boolean> => (await cellOf(this).state(job)) === 'failed';
-    assert.ok(await eventually(isFailed, GIVEN_UP_WITHIN_MS));
+    assert.ok(await eventually(isFailed, GIVE_UP_TIMEOUT_MS));
   },
 );
 
-Then('none of its tasks was started more than 5 times', function (this: CellSteps) {
-  assert.ok(mostStartsOfATask(this, jobOf(this)) <= 5);
+Then('none of its tasks was started more than 5 times', function (this: CellTestContext) {
+  assert.ok(maxStartsPerTask(this, firstJob(this)) <= 5);
 });
 
 When(
   /^a runner with work crashes and is away for (\d\.\d) s$/,
-  function (this: CellSteps, seconds: string) {
+  function (this: CellTestContext, seconds: string) {
     const worker = runningWorker(this);
     assert.ok((worker.runner.life?.running().length ?? 0) > 1);
     cellOf(this).crashRunner(worker, Number(seconds) * 1000);
@@ -92,12 +108,12 @@
 Then(
   /^(the others complete|each of them completes)$/,
   { timeout: 20_000 },
-  async function (this: CellSteps, which: string) {
+  async function (this: CellTestContext, which: string) {
     const jobs = which.startsWith('each') ? this.jobs : this.jobs.slice(0, -1);
     const states = (): Promise<string[]> => Promise.all(jobs.map((id) => cellOf(this).state(id)));
     const areOver = async (): Promise<boolean> =>
       (await states()).every((state) => !OPEN_STATES.includes(state));
-    assert.ok(await eventually(areOver, GIVEN_UP_WITHIN_MS));
+    assert.ok(await eventually(areOver, GIVE_UP_TIMEOUT_MS));
     assert.deepEqual(
       await states(),
       jobs.map(() => 'completed'),
@@ -105,7 +121,7 @@
   },
 );
 
-Then('no worker was closed', function (this: CellSteps) {
+Then('no worker was closed', function (this: CellTestContext) {
   const closed = cellOf(this).entries.map(({ metrics }) => metrics.counters.get('worker.closed'));
   assert.deepEqual(
     closed,
--- a/packages/cell/src/owner/disturbed-fleet.steps.ts
+++ b/packages/cell/src/owner/disturbed-fleet.steps.ts
@@ -3,7 +3,7 @@
 import { pause } from '../clock/pause.js';
 import { eventually } from '../testing/cell-world.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
-import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
+import { cellOf, submitJob, firstJob, type CellTestContext } from './cell-test-context.support.js';
 
 const ACCELERATORS = 8;
 
@@ -12,59 +12,59 @@
 
 Given(
   'the connections of the next {int} starts on each worker are reset, each second after the start',
-  function (this: CellSteps, count: number) {
+  function (this: CellTestContext, count: number) {
     cellOf(this).workers.forEach(({ runner }) => Object.assign(runner, { resetStarts: count }));
   },
 );
 
 When(
   'a job of {int} tasks that take 3 s is handed in and all that fit have begun',
-  async function (this: CellSteps, tasks: number) {
-    await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 3000 } });
+  async function (this: CellTestContext, tasks: number) {
+    await submitJob(this, { steps: [testStep({ tasks })], spec: { workMs: 3000 } });
     const [worker] = cellOf(this).workers;
     assert.ok(await eventually(() => worker?.runner.life?.running().length === ACCELERATORS));
   },
 );
 
-When('an empty worker joins', function (this: CellSteps) {
+When('an empty worker joins', function (this: CellTestContext) {
   cellOf(this).addWorker();
 });
 
 When(
   'a job of {int} occurrences, one each {int} ms, is handed in',
-  async function (this: CellSteps, count: number, everyMs: number) {
+  async function (this: CellTestContext, count: number, everyMs: number) {
     const schedule = { count, everyMs, firstAtMs: Date.now() + everyMs };
-    await handIn(this, { schedule, spec: { workMs: 100 } });
+    await submitJob(this, { schedule, spec: { workMs: 100 } });
   },
 );
 
 When(
   'the time of day jumps by {int} ms after the second and back again',
   { timeout: 10_000 },
-  async function (this: CellSteps, aheadMs: number) {
+  async function (this: CellTestContext, aheadMs: number) {
     const cell = cellOf(this);
-    assert.ok(await eventually(() => cell.starts(jobOf(this)).length >= 2));
+    assert.ok(await eventually(() => cell.starts(firstJob(this)).length >= 2));
     cell.clock.aheadMs = aheadMs;
     await pause(OFF_MS);
     cell.clock.aheadMs = 0;
   },
 );
 
-Then('tasks of the job run there within 1 s', async function (this: CellSteps) {
+Then('tasks of the job run there within 1 s', async function (this: CellTestContext) {
   const joined = cellOf(this).workers.at(-1);
   assert.ok(joined);
   assert.ok(await eventually(() => (joined.runner.life?.running().length ?? 0) > 0, 1000));
 });
 
-Then('no task of it ran on two workers, or twice at a time', function (this: CellSteps) {
-  const starts = cellOf(this).starts(jobOf(this));
+Then('no task of it ran on two workers, or twice at a time', function (this: CellTestContext) {
+  const starts = cellOf(this).starts(firstJob(this));
   const tasks = starts.map(({ task }) => task);
   assert.deepEqual([...new Set(tasks)], tasks);
 });
 
-Then('each of its occurrences ran once', function (this: CellSteps) {
+Then('each of its occurrences ran once', function (this: CellTestContext) {
   const occurrences = cellOf(this)
-    .starts(jobOf(this))
+    .starts(firstJob(this))
     .map(({ task }) => Number(task.split('.')[1]));
   // Two that are due at once may begin in any order.
   assert.deepEqual(occurrences.sort(), [0, 1, 2, 3]);
--- a/packages/cell/src/owner/ended-sweeper.ts
+++ b/packages/cell/src/owner/ended-job-sweeper.ts
@@ -3,10 +3,10 @@
 import { jobRowKey, type JobRowKind } from '../job/job-rows.js';
 import type { JobView, KnownJob } from '../job/job-view.js';
 import type { RowStore } from '../store/row-store.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 
 /** Pause between looks, in ms. */
-const SWEEP_EVERY_MS = 5000;
+const SWEEP_INTERVAL_MS = 5000;
 
 /** Jobs removed at a look: three rows each, and a transaction takes 100 entries. */
 const JOBS_PER_SWEEP = 20;
@@ -16,7 +16,7 @@
 const ROW_KINDS: JobRowKind[] = ['submission', 'progress', 'cancellation'];
 
 /** What the sweeper works on. */
-export interface EndedSweeperOptions {
+export interface EndedJobSweeperOptions {
   ctx: ProcessContext;
   store: RowStore;
   view: JobView;
@@ -29,17 +29,17 @@
 }
 
 /** One term's sweeper. */
-export class EndedSweeper {
-  readonly #options: EndedSweeperOptions;
+export class EndedJobSweeper {
+  readonly #options: EndedJobSweeperOptions;
 
   /** When each ended job was first seen so, on the monotonic clock. */
-  readonly #seenAt = new Map<string, number>();
+  readonly #endSeenAt = new Map<string, number>();
 
   #timer: NodeJS.Timeout | undefined;
 
   #stopped = false;
 
-  constructor(options: EndedSweeperOptions) {
+  constructor(options: EndedJobSweeperOptions) {
     this.#options = options;
   }
 
@@ -48,7 +48,7 @@
       () => {
         void this.#sweep();
       },
-      Math.min(SWEEP_EVERY_MS, this.#options.keepEndedMs),
+      Math.min(SWEEP_INTERVAL_MS, this.#options.keepEndedMs),
     );
   }
 
@@ -59,7 +59,7 @@
 
   async #sweep(): Promise<void> {
     try {
-      const due = this.#due();
+      const due = this.#dueJobs();
       if (due.length > 0) await this.#remove(due);
     } catch (err) {
       this.#options.ctx.metrics.count('sweep.failed');
@@ -68,14 +68,14 @@
     if (!this.#stopped) this.start();
   }
 
-  #due(): KnownJob[] {
+  #dueJobs(): KnownJob[] {
     const { view, ctx, keepEndedMs } = this.#options;
     const now = ctx.clock.now();
     return [...view.all()]
-      .filter(({ progress }) => isOver(progress))
+      .filter(({ progress }) => hasFullyEnded(progress))
       .filter(({ id }) => {
-        const seenAt = this.#seenAt.get(id) ?? now;
-        this.#seenAt.set(id, seenAt);
+        const seenAt = this.#endSeenAt.get(id) ?? now;
+        this.#endSeenAt.set(id, seenAt);
         return now - seenAt >= keepEndedMs;
       })
       .slice(0, JOBS_PER_SWEEP);
@@ -85,7 +85,7 @@
     const { store, ctx, ownerVersion } = this.#options;
     const result = await store.transact(
       {
-        expected: [{ ...OWNER_KEY, version: ownerVersion }],
+        expected: [{ ...OWNER_ROW_KEY, version: ownerVersion }],
         set: [],
         remove: jobs.flatMap(({ id }) => ROW_KINDS.map((kind) => jobRowKey(id, kind))),
       },
@@ -94,14 +94,14 @@
     ctx.metrics.count(`sweep.${result.outcome}`, jobs.length);
     if (result.outcome !== 'done') return;
     jobs.forEach(({ id }) => {
-      this.#seenAt.delete(id);
+      this.#endSeenAt.delete(id);
       this.#options.onRemoved(id);
     });
   }
 }
 
 /** Ended, and nothing of it can run any more. */
-function isOver(progress: KnownJob['progress']): boolean {
+function hasFullyEnded(progress: KnownJob['progress']): boolean {
   if (progress === undefined || progress.outcome === 'open') return false;
   return progress.activeRuns().length === 0;
 }
--- a/packages/cell/src/owner/link-key.ts
+++ b/packages/cell/src/owner/link-key.ts
@@ -3,31 +3,31 @@
 import type { ProcessContext } from '@zincspan/core';
 import { readRow } from '../store/read-row.js';
 import type { RowStore } from '../store/row-store.js';
-import { LINK_KEY_KEY } from './owner-row.js';
+import { LINK_KEY_ROW_KEY } from './owner-row.js';
 import { pause } from '../clock/pause.js';
 
 const KEY_BYTES = 32;
-const CALL_TIMEOUT_MS = 1200;
-const RETRY_PAUSE_MS = 150;
+const STORE_TIMEOUT_MS = 1200;
+const RETRY_DELAY_MS = 150;
 
 /** Reads the key, or makes it. Tries until the store answers. */
-export async function fetchLinkKey(ctx: ProcessContext, store: RowStore): Promise<string> {
+export async function getOrCreateLinkKey(ctx: ProcessContext, store: RowStore): Promise<string> {
   for (let attempt = 1; ; attempt++) {
-    const read = await readRow(store, LINK_KEY_KEY, { timeoutMs: CALL_TIMEOUT_MS });
+    const read = await readRow(store, LINK_KEY_ROW_KEY, { timeoutMs: STORE_TIMEOUT_MS });
     if (read.outcome === 'found') return read.row.value.toString('hex');
     if (read.outcome === 'absent') {
-      const made = await store.transact(
+      const created = await store.transact(
         {
-          expected: [{ ...LINK_KEY_KEY, version: 0 }],
-          set: [{ ...LINK_KEY_KEY, value: randomBytes(KEY_BYTES) }],
+          expected: [{ ...LINK_KEY_ROW_KEY, version: 0 }],
+          set: [{ ...LINK_KEY_ROW_KEY, value: randomBytes(KEY_BYTES) }],
         },
-        { timeoutMs: CALL_TIMEOUT_MS },
+        { timeoutMs: STORE_TIMEOUT_MS },
       );
-      ctx.log.info({ outcome: made.outcome }, 'link key made');
+      ctx.log.info({ outcome: created.outcome }, 'link key made');
       // Read back in any case: another process may have been first.
-      if (made.outcome === 'done' || made.outcome === 'conflict') continue;
+      if (created.outcome === 'done' || created.outcome === 'conflict') continue;
     }
     if (attempt % 10 === 1) ctx.log.warn({ attempt }, 'link key not read yet');
-    await pause(RETRY_PAUSE_MS);
+    await pause(RETRY_DELAY_MS);
   }
 }
--- a/packages/cell/src/owner/occupants.steps.ts
+++ b/packages/cell/src/owner/occupants.steps.ts
@@ -7,25 +7,25 @@
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { Fleet } from './fleet.js';
 import { findOccupants } from './occupants.js';
-import { RunBook } from './run-book.js';
+import { RunRegistry } from './run-registry.js';
 import { noEvacuations } from '../testing/test-evacuations.support.js';
 
 interface OccupantSteps {
-  book: RunBook;
+  book: RunRegistry;
 }
 
 const TASKS = 4;
 const FULL_PERCENT = 100;
 
-function newBook(): RunBook {
+function newBook(): RunRegistry {
   const ctx = quietContext({ id: 'entry-1', role: 'entry' });
   const evacuations = noEvacuations();
-  return new RunBook({
+  return new RunRegistry({
     ctx,
     fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs: 6000, earlierGrantMs: 0 }),
     advice: new AdviceBook(),
     durations: new DurationBook(),
-    events: { onChanged: () => undefined, onNews: () => undefined },
+    events: { onProgressChanged: () => undefined, onOrdersChanged: () => undefined },
   });
 }
 
@@ -43,7 +43,7 @@
       })),
     );
     this.book = newBook();
-    this.book.add(testOwnedJob(submission, { progress, progressVersion: 1 }));
+    this.book.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
     this.book.assignmentsOf(submission.id).forEach((assignment) => {
       const isAway = assignment.ref.index < away;
       Object.assign(assignment, { percent: isAway ? 0 : FULL_PERCENT });
@@ -61,7 +61,7 @@
     const ref = { occurrence: 0, step: 0, index: 0 };
     progress.startRuns([{ ref, vm: 'vm-0', runner: 'runner-0' }]);
     this.book = newBook();
-    this.book.add(testOwnedJob(submission, { progress, progressVersion: 1 }));
+    this.book.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
     const [assignment] = this.book.assignmentsOf(submission.id);
     assert.ok(assignment);
     assignment.assignedAt -= Number(seconds) * 1000;
--- a/packages/cell/src/owner/occupants.ts
+++ b/packages/cell/src/owner/occupants.ts
@@ -3,7 +3,7 @@
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { Occupant } from './pass-input.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 import { isSameStep } from './run-stopper.js';
 import { acceleratorsOf } from './standings.js';
 
@@ -22,7 +22,7 @@
 }
 
 /** All of them; runs of claims are protected. */
-export function findOccupants(book: RunBook, claims: ReadonlySet<OwnedJob>): Occupant[] {
+export function findOccupants(book: RunRegistry, claims: ReadonlySet<OwnedJob>): Occupant[] {
   const sets = new Map<string, Gathered>();
   const now = book.now();
   [...book.fleet.all()].forEach(({ vm, assignments }) =>
@@ -49,7 +49,7 @@
  * Whether a task that lasts may be stopped for others: of its step only so many may be away by our doing. Those that come
  * first in the step are spared first, so that one pass doesn't stop more than that.
  */
-function maySpare(book: RunBook, job: OwnedJob, { ref }: Assignment): boolean {
+function maySpare(book: RunRegistry, job: OwnedJob, { ref }: Assignment): boolean {
   const step = job.submission.steps[ref.step];
   if (!step?.lasting || step.mayMiss === 0) return true;
   const atWork = book
--- a/packages/cell/src/owner/owned-job.ts
+++ b/packages/cell/src/owner/owned-job.ts
@@ -4,7 +4,7 @@
 import type { QueueTerms, Step, Submission } from '../job/submission.js';
 
 /** A step's next runs are kept from a worker where one went wrong for this long, in ms; then any will do. */
-const AVOID_MS = 2500;
+const AVOID_WORKER_MS = 2500;
 
 /** Names a step of an occurrence. */
 export interface StepRef {
@@ -29,24 +29,24 @@
   readonly readySince = new Map<string, number>();
 
   /** When runs of others were last stopped for it, on the monotonic clock. */
-  #madeRoomAt = -Infinity;
+  #lastPreemptionAt = -Infinity;
 
   #cancelled: boolean;
 
   #terms: QueueTerms;
 
   /** Workers where a step's runs went wrong, and when, by `<occurrence>.<step>` and VM. */
-  readonly #avoided = new Map<string, Map<string, number>>();
+  readonly #avoidedWorkers = new Map<string, Map<string, number>>();
 
   /** How long tasks of each step took that ran from their beginning, in ms: the newest. */
-  readonly #tookMs = new Map<Step, number>();
+  readonly #lastTaskMs = new Map<Step, number>();
 
   /** Failure domains in which runs start by changes that aren't durable yet, with the last such change of each. */
-  readonly #startsIn = new Map<string, number>();
+  readonly #pendingStarts = new Map<string, number>();
 
-  #change = 0;
+  #lastChange = 0;
 
-  #durable = 0;
+  #lastDurableChange = 0;
 
   constructor({
     id,
@@ -65,12 +65,12 @@
     this.#terms = submission.terms;
   }
 
-  get madeRoomAt(): number {
-    return this.#madeRoomAt;
+  get lastPreemptionAt(): number {
+    return this.#lastPreemptionAt;
   }
 
-  noteRoomMade(now: number): void {
-    this.#madeRoomAt = now;
+  notePreemption(now: number): void {
+    this.#lastPreemptionAt = now;
   }
 
   get cancelled(): boolean {
@@ -78,7 +78,7 @@
   }
 
   /** Its caller has cancelled it. */
-  noteCancelled(): void {
+  markCancelled(): void {
     this.#cancelled = true;
   }
 
@@ -87,74 +87,74 @@
     return this.#terms;
   }
 
-  noteTerms(terms: QueueTerms): void {
+  setTerms(terms: QueueTerms): void {
     this.#terms = terms;
   }
 
   /** A run of this step went wrong there. */
-  avoid({ occurrence, step }: StepRef, vm: string, now: number): void {
+  avoidWorker({ occurrence, step }: StepRef, vm: string, now: number): void {
     const key = `${occurrence}.${step}`;
-    const vms = this.#avoided.get(key) ?? new Map<string, number>();
-    this.#avoided.set(key, vms);
+    const vms = this.#avoidedWorkers.get(key) ?? new Map<string, number>();
+    this.#avoidedWorkers.set(key, vms);
     vms.set(vm, now);
   }
 
   /** Workers that the next runs of this step are kept from. */
-  avoided({ occurrence, step }: StepRef, now: number): Set<string> {
-    const vms = this.#avoided.get(`${occurrence}.${step}`) ?? new Map<string, number>();
-    const recent = [...vms].filter(([, at]) => now - at < AVOID_MS);
+  avoidedWorkers({ occurrence, step }: StepRef, now: number): Set<string> {
+    const vms = this.#avoidedWorkers.get(`${occurrence}.${step}`) ?? new Map<string, number>();
+    const recent = [...vms].filter(([, at]) => now - at < AVOID_WORKER_MS);
     return new Set(recent.map(([vm]) => vm));
   }
 
   /** A task of this step ran for so long from its beginning to its end. */
-  noteTook(step: Step, tookMs: number): void {
-    this.#tookMs.set(step, tookMs);
+  noteTaskDuration(step: Step, durationMs: number): void {
+    this.#lastTaskMs.set(step, durationMs);
   }
 
   /** How long a task of this step took; undefined before one has ended. */
-  tookMs(step: Step): number | undefined {
-    return this.#tookMs.get(step);
+  lastTaskMs(step: Step): number | undefined {
+    return this.#lastTaskMs.get(step);
   }
 
-  get change(): number {
-    return this.#change;
+  get lastChange(): number {
+    return this.#lastChange;
   }
 
   get isDirty(): boolean {
-    return this.#change > this.#durable;
+    return this.#lastChange > this.#lastDurableChange;
   }
 
   /** Numbers a change of the progress that was just made. */
-  changed(): number {
-    this.#change += 1;
-    return this.#change;
+  addChange(): number {
+    this.#lastChange += 1;
+    return this.#lastChange;
   }
 
   /** A run starts there by this change. */
-  noteStart(failureDomain: string, change: number): void {
-    this.#startsIn.set(failureDomain, change);
+  addPendingStart(failureDomain: string, change: number): void {
+    this.#pendingStarts.set(failureDomain, change);
   }
 
   /** No run starts there any more. */
-  forgetStarts(failureDomain: string): void {
-    this.#startsIn.delete(failureDomain);
+  dropPendingStarts(failureDomain: string): void {
+    this.#pendingStarts.delete(failureDomain);
   }
 
   /** Failure domains in which something starts once all changes so far are durable. */
-  startsIn(): string[] {
-    return [...this.#startsIn.keys()];
+  pendingStartDomains(): string[] {
+    return [...this.#pendingStarts.keys()];
   }
 
   isDurable(change: number): boolean {
-    return change <= this.#durable;
+    return change <= this.#lastDurableChange;
   }
 
   /** The store has this change. */
-  wrote(change: number, version: number): void {
-    this.#durable = Math.max(this.#durable, change);
+  markWritten(change: number, version: number): void {
+    this.#lastDurableChange = Math.max(this.#lastDurableChange, change);
     this.progressVersion = version;
-    this.#startsIn.forEach((last, failureDomain) => {
-      if (this.isDurable(last)) this.#startsIn.delete(failureDomain);
+    this.#pendingStarts.forEach((last, failureDomain) => {
+      if (this.isDurable(last)) this.#pendingStarts.delete(failureDomain);
     });
   }
 }
--- a/packages/cell/src/owner/ownership.ts
+++ b/packages/cell/src/owner/owner-election.ts
@@ -6,49 +6,49 @@
 import type { Row, RowStore, TransactResult, Transaction } from '../store/row-store.js';
 import {
   CELL_TABLE,
-  OWNER_BEAT_KEY,
-  OWNER_KEY,
-  packOwner,
-  unpackOwner,
+  OWNER_HEARTBEAT_KEY,
+  OWNER_ROW_KEY,
+  packOwnerRow,
+  unpackOwnerRow,
   type Holder,
   type OwnerRow,
 } from './owner-row.js';
 
 /** Pause between heartbeats, and between looks at the rows of those that take the cell when its owner is lost, in ms. */
-const TICK_MS = 200;
+const TICK_INTERVAL_MS = 200;
 
 /**
  * Pause between looks of the others while a link to the owner tells that it lives, in ms: they learn of a new owner within
  * that time, and take the cell only if none of those that should is there.
  */
-const LINKED_TICK_MS = 1000;
+const LINKED_TICK_INTERVAL_MS = 1000;
 
 /** Each of them gives the one before it this much longer to take a lost or vacant cell, in ms: a look and a write. */
-const GIVE_WAY_MS = 250;
+const TAKEOVER_STAGGER_MS = 250;
 
 /**
  * A heartbeat that hasn't changed for this long, over reads that all succeeded, is a dead owner's, in ms: three of its
  * ticks. Short, as an urgent job of 2.5 s has 1.5 s to spare for everything; taking over from an owner that lives is safe.
  */
-const TAKEOVER_AFTER_MS = 700;
+const HEARTBEAT_TIMEOUT_MS = 700;
 
 /**
  * And this many answers of the store, as long as the slowest took since the heartbeat was seen: one of a slow store comes later, also
  * the last one on its way when the store is fast again.
  */
-const TAKEOVER_ANSWERS = 4;
+const TAKEOVER_READ_LATENCIES = 4;
 
 /**
  * Entries that look for the owner's heartbeat at its own pace, so that it is missed at once: with all of 35 doing so, they
  * made 175 reads of the store a second. Three, since two may be lost with the owner's failure domain.
  */
-export const SUCCESSORS = 3;
+export const SUCCESSOR_COUNT = 3;
 
 /** One call to the store may take this long, in ms: several times a slow store's answer. */
-const CALL_TIMEOUT_MS = 1200;
+const STORE_TIMEOUT_MS = 1200;
 
 /** Told when this entry becomes the owner, and when it no longer is. */
-export interface OwnershipEvents {
+export interface OwnerElectionEvents {
   onGained: (term: number, ownerVersion: number) => void;
   onLost: (reason: string) => void;
   /** Who owns the cell was seen; undefined if nobody does. */
@@ -56,31 +56,31 @@
 }
 
 /** What ownership is looked after by. */
-export interface OwnershipOptions {
+export interface OwnerElectionOptions {
   ctx: ProcessContext;
   store: RowStore;
   self: Holder;
-  events: OwnershipEvents;
+  events: OwnerElectionEvents;
   /** How many entries take the cell before this one; undefined if it isn't one of those that look out for its loss. */
   rank: () => number | undefined;
   /** Whether this entry has been there long enough to know who else is. */
-  isSettled: () => boolean;
+  knowsPeers: () => boolean;
   /** Whether there is a link to the owner. */
-  isLinked: () => boolean;
+  hasOwnerLink: () => boolean;
 }
 
-interface Held {
+interface HeldOwnership {
   term: number;
   /** Version of the owner's row, which all writes expect. */
   version: number;
   /** When the last write or read that confirmed it was sent, on the monotonic clock. */
   confirmedAt: number;
   /** When the last heartbeat was sent by itself, or with a write that was done. */
-  beatAt: number;
+  heartbeatSentAt: number;
   /** What the last heartbeat that was done took, in ms. */
-  beatTookMs: number;
+  heartbeatLatencyMs: number;
   /** Heartbeats without an answer so far. */
-  beatsInFlight: number;
+  heartbeatsInFlight: number;
 }
 
 /**
@@ -88,33 +88,33 @@
  * transactions take their turns, those of a slow store would leave no turn to anything else. Others wait for as many answers
  * before they take the cell.
  */
-const BEAT_APART = 2;
+const HEARTBEAT_SPACING_FACTOR = 2;
 
 /** Takes the cell when nobody lives who owns it, and keeps it. */
-export class Ownership {
-  readonly #options: OwnershipOptions;
+export class OwnerElection {
+  readonly #options: OwnerElectionOptions;
 
-  #held: Held | undefined;
+  #held: HeldOwnership | undefined;
 
-  #beats = 0;
+  #heartbeatCount = 0;
 
   /** Since when the cell was seen to be nobody's, on the monotonic clock. */
   #vacantSince: number | undefined;
 
   /** The owner's heartbeat as last seen, and since when it hasn't changed. */
-  #seen:
-    | { beatVersion: number; ownerVersion: number; since: number; slowestAnswerMs: number }
+  #observed:
+    | { heartbeatVersion: number; ownerVersion: number; since: number; slowestReadMs: number }
     | undefined;
 
   #timer: NodeJS.Timeout | undefined;
 
   #stopping = false;
 
-  constructor(options: OwnershipOptions) {
+  constructor(options: OwnerElectionOptions) {
     this.#options = options;
   }
 
-  get held(): Readonly<Held> | undefined {
+  get held(): Readonly<HeldOwnership> | undefined {
     return this.#held;
   }
 
@@ -128,13 +128,13 @@
     clearTimeout(this.#timer);
     const held = this.#held;
     if (held === undefined) return;
-    this.lose('planned stop');
+    this.endOwnership('planned stop');
     const result = await this.#options.store.transact(
       {
-        expected: [{ ...OWNER_KEY, version: held.version }],
-        set: [{ ...OWNER_KEY, value: packOwner({ term: held.term }) }],
+        expected: [{ ...OWNER_ROW_KEY, version: held.version }],
+        set: [{ ...OWNER_ROW_KEY, value: packOwnerRow({ term: held.term }) }],
       },
-      { timeoutMs: CALL_TIMEOUT_MS },
+      { timeoutMs: STORE_TIMEOUT_MS },
     );
     this.#options.ctx.log.info(
       { term: held.term, outcome: result.outcome },
@@ -143,12 +143,12 @@
   }
 
   /** The owner's row was seen changed by others. */
-  lose(reason: string): void {
+  endOwnership(reason: string): void {
     if (this.#held === undefined) return;
     this.#options.ctx.metrics.count('owner.lost');
     this.#options.ctx.log.warn({ term: this.#held.term, reason }, 'ownership lost');
     this.#held = undefined;
-    this.#seen = undefined;
+    this.#observed = undefined;
     this.#options.events.onLost(reason);
   }
 
@@ -156,11 +156,17 @@
   async transact(tx: Transaction, options: { timeoutMs: number }): Promise<TransactResult> {
     const held = this.#held;
     const sentAt = this.#now();
-    this.#beats += 1;
-    const beat = { ...OWNER_BEAT_KEY, value: Buffer.from(`${held?.term}:${this.#beats}`) };
-    if (held !== undefined) held.beatsInFlight += 1;
-    const result = await this.#options.store.transact({ ...tx, set: [...tx.set, beat] }, options);
-    if (held !== undefined) held.beatsInFlight -= 1;
+    this.#heartbeatCount += 1;
+    const heartbeat = {
+      ...OWNER_HEARTBEAT_KEY,
+      value: Buffer.from(`${held?.term}:${this.#heartbeatCount}`),
+    };
+    if (held !== undefined) held.heartbeatsInFlight += 1;
+    const result = await this.#options.store.transact(
+      { ...tx, set: [...tx.set, heartbeat] },
+      options,
+    );
+    if (held !== undefined) held.heartbeatsInFlight -= 1;
     if (result.outcome === 'done') this.#confirm(sentAt);
     return result;
   }
@@ -169,8 +175,8 @@
     const held = this.#held;
     if (held === undefined) return;
     held.confirmedAt = Math.max(held.confirmedAt, sentAt);
-    held.beatAt = Math.max(held.beatAt, sentAt);
-    held.beatTookMs = this.#now() - sentAt;
+    held.heartbeatSentAt = Math.max(held.heartbeatSentAt, sentAt);
+    held.heartbeatLatencyMs = this.#now() - sentAt;
   }
 
   #now(): number {
@@ -180,8 +186,8 @@
   async #tick(): Promise<void> {
     if (this.#stopping) return;
     try {
-      if (this.#held === undefined) await this.#look();
-      else if (this.#isBeatDue(this.#held)) this.#sendBeat(this.#held);
+      if (this.#held === undefined) await this.#checkOwner();
+      else if (this.#isHeartbeatDue(this.#held)) this.#sendHeartbeat(this.#held);
     } catch (err) {
       this.#options.ctx.metrics.count('owner.tick-failed');
       this.#options.ctx.log.error({ err }, 'looking after the ownership failed');
@@ -189,106 +195,119 @@
     if (this.#stopping) return;
     this.#timer = setTimeout(() => {
       void this.#tick();
-    }, this.#tickMs());
+    }, this.#tickIntervalMs());
   }
 
-  #tickMs(): number {
-    const { rank, isLinked } = this.#options;
-    if (this.#held !== undefined || rank() !== undefined || !isLinked()) return TICK_MS;
-    return LINKED_TICK_MS;
+  #tickIntervalMs(): number {
+    const { rank, hasOwnerLink: isLinked } = this.#options;
+    if (this.#held !== undefined || rank() !== undefined || !isLinked()) return TICK_INTERVAL_MS;
+    return LINKED_TICK_INTERVAL_MS;
   }
 
-  #isBeatDue({ beatAt, beatTookMs, beatsInFlight }: Held): boolean {
-    const apartMs = beatsInFlight > 0 ? BEAT_APART * beatTookMs : 0;
+  #isHeartbeatDue({
+    heartbeatSentAt,
+    heartbeatLatencyMs,
+    heartbeatsInFlight,
+  }: HeldOwnership): boolean {
+    const spacingMs = heartbeatsInFlight > 0 ? HEARTBEAT_SPACING_FACTOR * heartbeatLatencyMs : 0;
     // A timer may fire a little early.
-    return this.#now() - beatAt >= Math.max(TICK_MS / 2, apartMs);
+    return this.#now() - heartbeatSentAt >= Math.max(TICK_INTERVAL_MS / 2, spacingMs);
   }
 
   /**
    * Not awaited: the next one goes out in time although the answer to this one is lost, which takes a whole call's time to
    * show. Otherwise a store that loses answers made the cell change hands about once a second.
    */
-  #sendBeat(held: Held): void {
-    this.#beat(held).catch((err: unknown) => {
+  #sendHeartbeat(held: HeldOwnership): void {
+    this.#writeHeartbeat(held).catch((err: unknown) => {
       this.#options.ctx.metrics.count('owner.beat-failed');
       this.#options.ctx.log.error({ err }, 'a heartbeat of the owner failed');
     });
   }
 
-  async #beat(held: Held): Promise<void> {
-    Object.assign(held, { beatAt: this.#now() });
-    const expected = [{ ...OWNER_KEY, version: held.version }];
-    const result = await this.transact({ expected, set: [] }, { timeoutMs: CALL_TIMEOUT_MS });
+  async #writeHeartbeat(held: HeldOwnership): Promise<void> {
+    Object.assign(held, { heartbeatSentAt: this.#now() });
+    const expected = [{ ...OWNER_ROW_KEY, version: held.version }];
+    const result = await this.transact({ expected, set: [] }, { timeoutMs: STORE_TIMEOUT_MS });
     if (this.#held !== held || result.outcome === 'done') return;
-    if (result.outcome === 'conflict') this.lose('another entry took it');
+    if (result.outcome === 'conflict') this.endOwnership('another entry took it');
     else this.#options.ctx.metrics.count('owner.beat-failed');
   }
 
-  async #look(): Promise<void> {
+  async #checkOwner(): Promise<void> {
     const now = this.#now();
     const result = await this.#options.store.read(
-      { table: CELL_TABLE, part: '', from: OWNER_KEY.key, to: `${OWNER_BEAT_KEY.key}\u0000` },
-      { timeoutMs: CALL_TIMEOUT_MS },
+      {
+        table: CELL_TABLE,
+        part: '',
+        from: OWNER_ROW_KEY.key,
+        to: `${OWNER_HEARTBEAT_KEY.key}\u0000`,
+      },
+      { timeoutMs: STORE_TIMEOUT_MS },
     );
     if (result.outcome === 'failed') {
       // Nothing was seen meanwhile: an owner that couldn't write either mustn't be taken for dead.
-      this.#seen = undefined;
+      this.#observed = undefined;
       this.#vacantSince = undefined;
       return;
     }
-    const ownerRow = result.rows.find(({ key }) => key === OWNER_KEY.key);
-    const holder = ownerRow && unpackOwner(ownerRow.value).holder;
+    const ownerRow = result.rows.find(({ key }) => key === OWNER_ROW_KEY.key);
+    const holder = ownerRow && unpackOwnerRow(ownerRow.value).holder;
     this.#options.events.onHolder(holder);
-    const beatVersion = result.rows.find(({ key }) => key === OWNER_BEAT_KEY.key)?.version ?? 0;
-    const answerMs = this.#now() - now;
-    const mayTake = this.#mayTake({ ownerRow, holder, beatVersion, now, answerMs });
-    if (mayTake) await this.#take(ownerRow);
+    const heartbeatVersion =
+      result.rows.find(({ key }) => key === OWNER_HEARTBEAT_KEY.key)?.version ?? 0;
+    const readMs = this.#now() - now;
+    const mayTakeOver = this.#mayTakeOver({ ownerRow, holder, heartbeatVersion, now, readMs });
+    if (mayTakeOver) await this.#takeOver(ownerRow);
   }
 
-  #mayTake({
+  #mayTakeOver({
     ownerRow,
     holder,
-    beatVersion,
+    heartbeatVersion,
     now,
-    answerMs,
+    readMs,
   }: {
     ownerRow: Row | undefined;
     holder: Holder | undefined;
-    beatVersion: number;
+    heartbeatVersion: number;
     /** When the read was sent. */
     now: number;
-    answerMs: number;
+    readMs: number;
   }): boolean {
-    const giveWayMs = GIVE_WAY_MS * (this.#options.rank() ?? SUCCESSORS);
+    const staggerMs = TAKEOVER_STAGGER_MS * (this.#options.rank() ?? SUCCESSOR_COUNT);
     if (ownerRow === undefined || holder === undefined) {
-      if (!this.#options.isSettled()) return false;
+      if (!this.#options.knowsPeers()) return false;
       this.#vacantSince ??= now;
-      return now - this.#vacantSince >= giveWayMs;
+      return now - this.#vacantSince >= staggerMs;
     }
     this.#vacantSince = undefined;
     // A holder on this VM is an earlier life of this process.
     if (holder.id === this.#options.self.id) return true;
-    const seen = this.#seen;
-    if (seen?.beatVersion !== beatVersion || seen.ownerVersion !== ownerRow.version) {
+    const observed = this.#observed;
+    if (
+      observed?.heartbeatVersion !== heartbeatVersion ||
+      observed.ownerVersion !== ownerRow.version
+    ) {
       const { version: ownerVersion } = ownerRow;
-      this.#seen = { beatVersion, ownerVersion, since: now, slowestAnswerMs: answerMs };
+      this.#observed = { heartbeatVersion, ownerVersion, since: now, slowestReadMs: readMs };
       return false;
     }
-    seen.slowestAnswerMs = Math.max(seen.slowestAnswerMs, answerMs);
-    const answersMs = TAKEOVER_ANSWERS * seen.slowestAnswerMs;
-    return now - seen.since >= TAKEOVER_AFTER_MS + answersMs + giveWayMs;
+    observed.slowestReadMs = Math.max(observed.slowestReadMs, readMs);
+    const readLatenciesMs = TAKEOVER_READ_LATENCIES * observed.slowestReadMs;
+    return now - observed.since >= HEARTBEAT_TIMEOUT_MS + readLatenciesMs + staggerMs;
   }
 
-  async #take(ownerRow: Row | undefined): Promise<void> {
+  async #takeOver(ownerRow: Row | undefined): Promise<void> {
     const sentAt = this.#now();
-    const previous = ownerRow === undefined ? undefined : unpackOwner(ownerRow.value);
+    const previous = ownerRow === undefined ? undefined : unpackOwnerRow(ownerRow.value);
     const row: OwnerRow = { term: (previous?.term ?? 0) + 1, holder: this.#options.self };
     const result = await this.#options.store.transact(
       {
-        expected: [{ ...OWNER_KEY, version: ownerRow?.version ?? 0 }],
-        set: [{ ...OWNER_KEY, value: packOwner(row) }],
+        expected: [{ ...OWNER_ROW_KEY, version: ownerRow?.version ?? 0 }],
+        set: [{ ...OWNER_ROW_KEY, value: packOwnerRow(row) }],
       },
-      { timeoutMs: CALL_TIMEOUT_MS },
+      { timeoutMs: STORE_TIMEOUT_MS },
     );
     if (result.outcome !== 'done' || this.#stopping) {
       // If it was done all the same, the next look finds this process as holder and takes the next term.
@@ -299,20 +318,24 @@
       term: row.term,
       version: result.version,
       confirmedAt: sentAt,
-      beatAt: -Infinity,
-      beatTookMs: 0,
-      beatsInFlight: 0,
+      heartbeatSentAt: -Infinity,
+      heartbeatLatencyMs: 0,
+      heartbeatsInFlight: 0,
     };
     this.#options.events.onHolder(this.#options.self);
     this.#options.ctx.metrics.count('owner.taken');
     this.#options.ctx.log.info(
-      { term: row.term, from: previous?.holder?.id, beatUnchangedMs: this.#unchangedMs(sentAt) },
+      {
+        term: row.term,
+        from: previous?.holder?.id,
+        beatUnchangedMs: this.#heartbeatUnchangedMs(sentAt),
+      },
       'ownership taken',
     );
     this.#options.events.onGained(row.term, result.version);
   }
 
-  #unchangedMs(now: number): number | undefined {
-    return this.#seen && Math.round(now - this.#seen.since);
+  #heartbeatUnchangedMs(now: number): number | undefined {
+    return this.#observed && Math.round(now - this.#observed.since);
   }
 }
--- a/packages/cell/src/owner/owner-row.ts
+++ b/packages/cell/src/owner/owner-row.ts
@@ -8,13 +8,13 @@
 export const CELL_TABLE = 'cell';
 
 /** Who owns the cell. Changes only when ownership does, so that all writes can name its version. */
-export const OWNER_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner' };
+export const OWNER_ROW_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner' };
 
 /** Changed by the owner again and again: for liveness only. */
-export const OWNER_BEAT_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner-beat' };
+export const OWNER_HEARTBEAT_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner-beat' };
 
 /** The key that links between our processes prove themselves by. */
-export const LINK_KEY_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'link-key' };
+export const LINK_KEY_ROW_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'link-key' };
 
 /** An entry as owner. */
 export const holderSchema = z.strictObject({
@@ -34,11 +34,11 @@
 
 const packr = new Packr({ useRecords: false });
 
-export function packOwner(row: OwnerRow): Buffer {
+export function packOwnerRow(row: OwnerRow): Buffer {
   return packr.pack(row);
 }
 
 /** Throws if the row isn't as agreed. */
-export function unpackOwner(value: Buffer): OwnerRow {
+export function unpackOwnerRow(value: Buffer): OwnerRow {
   return ownerRowSchema.parse(packr.unpack(value));
 }
--- a/packages/cell/src/owner/placing-pass.steps.ts
+++ b/packages/cell/src/owner/placing-pass.steps.ts
@@ -102,7 +102,7 @@
   'an urgent job for {int} accelerators for which room was made 100 ms ago',
   function (this: PassSteps, count: number) {
     const job = newJob(0, 0, accelerators(count));
-    job.noteRoomMade(-100);
+    job.notePreemption(-100);
     this.jobs = [job];
   },
 );
--- a/packages/cell/src/owner/progress-writer.steps.ts
+++ b/packages/cell/src/owner/progress-writer.steps.ts
@@ -9,10 +9,10 @@
 import { testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { MemoryRowStore } from '../testing/memory-row-store.support.js';
 import type { OwnedJob } from './owned-job.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 import { ProgressWriter } from './progress-writer.js';
 
-interface WriterSteps {
+interface WriterScenario {
   tables: RowTables;
   store: MemoryRowStore;
   writer: ProgressWriter;
@@ -24,32 +24,32 @@
 const SUBMISSION = testSubmission({});
 const PROGRESS_KEY = jobRowKey(SUBMISSION.id, 'progress');
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
-const STRANGER = Buffer.from('of a stranger');
+const FOREIGN_PROGRESS = Buffer.from('of a stranger');
 
 function newJob(submissionVersion: number): OwnedJob {
   return testOwnedJob(SUBMISSION, { submissionVersion });
 }
 
-function put(tables: RowTables, key: typeof PROGRESS_KEY, value: Buffer): number {
+function putRow(tables: RowTables, key: typeof PROGRESS_KEY, value: Buffer): number {
   const result = tables.transact({ expected: [], set: [{ ...key, value }], remove: [] });
   assert.equal(result.outcome, 'done');
   return tables.version;
 }
 
-function acceptJob(world: WriterSteps): void {
+function writeSubmission(world: WriterScenario): void {
   const key = jobRowKey(SUBMISSION.id, 'submission');
-  Object.assign(world, { job: newJob(put(world.tables, key, packSubmission(SUBMISSION))) });
+  Object.assign(world, { job: newJob(putRow(world.tables, key, packSubmission(SUBMISSION))) });
 }
 
-function startRun({ job, writer }: WriterSteps): void {
+function startRun({ job, writer }: WriterScenario): void {
   job.progress.startRuns([
     { ref: { occurrence: 0, step: 0, index: 0 }, vm: 'worker-1', runner: 'runner-1' },
   ]);
-  job.changed();
-  writer.mark(job);
+  job.addChange();
+  writer.markDirty(job);
 }
 
-Given("a writer of a cell's owner", function (this: WriterSteps) {
+Given("a writer of a cell's owner", function (this: WriterScenario) {
   this.tables = new RowTables();
   this.store = new MemoryRowStore(this.tables);
   this.removed = [];
@@ -57,7 +57,7 @@
   this.writer = new ProgressWriter({
     ctx: quietContext({ id: 'entry-1', role: 'entry' }),
     transact: (tx, options) => this.store.transact(tx, options),
-    ownerVersion: put(this.tables, OWNER_KEY, Buffer.from('owner')),
+    ownerVersion: putRow(this.tables, OWNER_ROW_KEY, Buffer.from('owner')),
     evacuations: noEvacuations(),
     configKey: CONFIG_KEY,
     events: {
@@ -66,20 +66,20 @@
       onAccepted: () => undefined,
       onCancelled: () => undefined,
       onRemoved: (job) => this.removed.push(job),
-      onDeposed: (reason) => this.deposed.push(reason),
+      onOwnershipLost: (reason) => this.deposed.push(reason),
     },
   });
 });
 
-When('it writes the progress of a job without rows', function (this: WriterSteps) {
+When('it writes the progress of a job without rows', function (this: WriterScenario) {
   this.job = newJob(1);
   startRun(this);
 });
 
 When(
   "the answer to a job's progress is lost and the job goes on",
-  async function (this: WriterSteps) {
-    acceptJob(this);
+  async function (this: WriterScenario) {
+    writeSubmission(this);
     this.store.fault = 'lost';
     startRun(this);
     assert.ok(await eventually(() => this.tables.get(PROGRESS_KEY) !== undefined));
@@ -88,19 +88,19 @@
   },
 );
 
-When("a job's progress was written by somebody else", function (this: WriterSteps) {
-  acceptJob(this);
-  put(this.tables, PROGRESS_KEY, STRANGER);
+When("a job's progress was written by somebody else", function (this: WriterScenario) {
+  writeSubmission(this);
+  putRow(this.tables, PROGRESS_KEY, FOREIGN_PROGRESS);
   startRun(this);
 });
 
-Then('the job is given up and nothing is written', async function (this: WriterSteps) {
+Then('the job is given up and nothing is written', async function (this: WriterScenario) {
   assert.ok(await eventually(() => this.removed.includes(this.job)));
   assert.equal(this.tables.get(PROGRESS_KEY), undefined);
   assert.deepEqual(this.deposed, []);
 });
 
-Then('the newest progress is in the store', async function (this: WriterSteps) {
+Then('the newest progress is in the store', async function (this: WriterScenario) {
   assert.ok(await eventually(() => !this.job.isDirty));
   const row = this.tables.get(PROGRESS_KEY);
   assert.ok(row);
@@ -109,8 +109,8 @@
   assert.deepEqual(this.deposed, []);
 });
 
-Then("the term is over and the stranger's progress stands", async function (this: WriterSteps) {
+Then("the term is over and the stranger's progress stands", async function (this: WriterScenario) {
   assert.ok(await eventually(() => this.deposed.length === 1));
   await pause(50);
-  assert.deepEqual(this.tables.get(PROGRESS_KEY)?.value, STRANGER);
+  assert.deepEqual(this.tables.get(PROGRESS_KEY)?.value, FOREIGN_PROGRESS);
 });
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -14,23 +14,23 @@
 } from '../store/row-store.js';
 import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 import { pause } from '../clock/pause.js';
 
 /**
  * Jobs in one transaction: four entries each at most, beside the owner's row, its heartbeat and eighteen failure domains; the
  * store takes 100.
  */
-const JOBS_PER_WRITE = 20;
+const MAX_JOBS_PER_WRITE = 20;
 
 /** And beside submissions: ten of those take 21 entries. */
-const JOBS_BESIDE_ACCEPTANCES = 14;
+const MAX_JOBS_WITH_ACCEPTANCES = 14;
 
 /** One write may take this long, in ms: several times a slow store's answer. */
 const WRITE_TIMEOUT_MS = 1500;
 
 /** Pause after a write that failed, in ms. */
-const RETRY_PAUSE_MS = 100;
+const RETRY_DELAY_MS = 100;
 
 /** What the writer's user is told. */
 export interface ProgressWriterEvents {
@@ -49,22 +49,22 @@
   /** A job's rows are gone: it was over, and was removed. */
   onRemoved: (job: OwnedJob) => void;
   /** Another entry owns the cell, or the books of this term aren't what the store holds. */
-  onDeposed: (reason: string) => void;
+  onOwnershipLost: (reason: string) => void;
 }
 
 /** Sends a write that names the owner's row. */
-export type OwnerTransact = RowStore['transact'];
+export type FencedTransact = RowStore['transact'];
 
-interface Pending {
+interface PendingProgress {
   job: OwnedJob;
   change: number;
   value: Buffer;
 }
 
 /** One write: progress of some jobs, the failure domains in which something starts by it, and submissions that go along. */
-interface Batch {
-  jobs: readonly Pending[];
-  startsIn: readonly string[];
+interface WriteBatch {
+  jobs: readonly PendingProgress[];
+  pendingStartDomains: readonly string[];
   acceptances: readonly HandedAcceptance[];
   sentAt: number;
 }
@@ -73,7 +73,7 @@
 export class ProgressWriter {
   readonly #ctx: ProcessContext;
 
-  readonly #transact: OwnerTransact;
+  readonly #transact: FencedTransact;
 
   readonly #ownerVersion: number;
 
@@ -85,12 +85,12 @@
 
   readonly #events: ProgressWriterEvents;
 
-  readonly #dirty = new Set<OwnedJob>();
+  readonly #dirtyJobs = new Set<OwnedJob>();
 
   /** Values of writes without an answer: any of them may be in the store. */
-  readonly #unanswered = new Map<OwnedJob, Buffer[]>();
+  readonly #unansweredWrites = new Map<OwnedJob, Buffer[]>();
 
-  #running = false;
+  #writing = false;
 
   #stopped = false;
 
@@ -103,7 +103,7 @@
     events,
   }: {
     ctx: ProcessContext;
-    transact: OwnerTransact;
+    transact: FencedTransact;
     ownerVersion: number;
     evacuations: Evacuations;
     /** Where the operator's configuration stands. */
@@ -120,15 +120,15 @@
   }
 
   /** The job has changes to write. */
-  mark(job: OwnedJob): void {
-    this.#dirty.add(job);
-    this.#wake();
+  markDirty(job: OwnedJob): void {
+    this.#dirtyJobs.add(job);
+    this.#scheduleWrite();
   }
 
   /** Accepts a job with the next write. */
   accept(call: AcceptanceCall): Promise<AcceptanceResult> {
     const result = this.#acceptances.add(call);
-    this.#wake();
+    this.#scheduleWrite();
     return result;
   }
 
@@ -138,74 +138,74 @@
   }
 
   get #hasWork(): boolean {
-    return !this.#stopped && (this.#dirty.size > 0 || !this.#acceptances.isEmpty);
+    return !this.#stopped && (this.#dirtyJobs.size > 0 || !this.#acceptances.isEmpty);
   }
 
-  #wake(): void {
-    if (this.#running || !this.#hasWork) return;
-    this.#running = true;
+  #scheduleWrite(): void {
+    if (this.#writing || !this.#hasWork) return;
+    this.#writing = true;
     // Changes of the same turn go together.
     setImmediate(() => {
-      void this.#run();
+      void this.#writeAll();
     });
   }
 
-  async #run(): Promise<void> {
+  async #writeAll(): Promise<void> {
     try {
-      while (this.#hasWork) await this.#write();
+      while (this.#hasWork) await this.#writeBatch();
     } catch (err) {
       this.#ctx.metrics.count('progress.write-failed');
       this.#ctx.log.error({ err }, 'writing progress failed');
     } finally {
-      this.#running = false;
+      this.#writing = false;
     }
-    if (this.#hasWork) setTimeout(() => this.#wake(), RETRY_PAUSE_MS);
+    if (this.#hasWork) setTimeout(() => this.#scheduleWrite(), RETRY_DELAY_MS);
   }
 
-  async #write(): Promise<void> {
+  async #writeBatch(): Promise<void> {
     const batch = this.#nextBatch();
-    const { jobs, startsIn, acceptances, sentAt } = batch;
+    const { jobs, pendingStartDomains, acceptances, sentAt } = batch;
     if (jobs.length === 0 && acceptances.length === 0) return;
-    const result = await this.#transact(this.#transaction(batch), {
+    const result = await this.#transact(this.#buildTransaction(batch), {
       timeoutMs: WRITE_TIMEOUT_MS,
     });
     this.#acceptances.settle(acceptances, result, this.#configKey);
     if (this.#stopped) return;
     this.#ctx.metrics.timing('progress.write', this.#ctx.clock.now() - sentAt);
     if (result.outcome === 'done') {
-      this.#evacuations.noteConfirmed(startsIn, sentAt);
-      this.#noteWritten(jobs, () => result.version);
-      this.#noteAccepted(acceptances, result.version);
+      this.#evacuations.noteConfirmed(pendingStartDomains, sentAt);
+      this.#markWritten(jobs, () => result.version);
+      this.#reportAccepted(acceptances, result.version);
     } else if (result.outcome === 'conflict') {
-      this.#noteConflict(batch, result.rows);
+      this.#resolveConflict(batch, result.rows);
     } else {
       this.#ctx.metrics.count(`progress.write-${result.outcome}`);
-      if (result.outcome === 'unknown') this.#noteUnanswered(jobs);
-      await pause(RETRY_PAUSE_MS);
+      if (result.outcome === 'unknown') this.#keepUnanswered(jobs);
+      await pause(RETRY_DELAY_MS);
     }
   }
 
-  #nextBatch(): Batch {
+  #nextBatch(): WriteBatch {
     const acceptances = this.#acceptances.take();
-    const mostJobs = acceptances.length > 0 ? JOBS_BESIDE_ACCEPTANCES : JOBS_PER_WRITE;
-    const jobs = [...this.#dirty].slice(0, mostJobs);
+    const mostJobs = acceptances.length > 0 ? MAX_JOBS_WITH_ACCEPTANCES : MAX_JOBS_PER_WRITE;
+    const jobs = [...this.#dirtyJobs].slice(0, mostJobs);
     return {
-      jobs: jobs.map((job) => ({ job, change: job.change, value: packProgress(job.progress) })),
-      startsIn: [...new Set(jobs.flatMap((job) => job.startsIn()))],
+      jobs: jobs.map((job) => ({ job, change: job.lastChange, value: packProgress(job.progress) })),
+      pendingStartDomains: [...new Set(jobs.flatMap((job) => job.pendingStartDomains()))],
       acceptances,
       sentAt: this.#ctx.clock.now(),
     };
   }
 
-  #noteUnanswered(batch: readonly Pending[]): void {
+  #keepUnanswered(batch: readonly PendingProgress[]): void {
     batch.forEach(({ job, value }) => {
-      const earlier = this.#unanswered.get(job) ?? [];
+      const earlier = this.#unansweredWrites.get(job) ?? [];
       if (earlier.some((each) => each.equals(value))) return;
-      this.#unanswered.set(job, [...earlier, value]);
+      this.#unansweredWrites.set(job, [...earlier, value]);
     });
   }
 
-  #transaction({ jobs, startsIn, acceptances }: Batch): Transaction {
+  #buildTransaction({ jobs, pendingStartDomains, acceptances }: WriteBatch): Transaction {
     const expected = jobs.flatMap(({ job }) => [
       { ...jobRowKey(job.id, 'progress'), version: job.progressVersion },
       // A job whose rows were removed is over, whatever a feed that is behind tells of it.
@@ -216,10 +216,10 @@
     ]);
     return {
       expected: [
-        { ...OWNER_KEY, version: this.#ownerVersion },
-        ...startsIn.map((failureDomain) => this.#evacuations.expectedRow(failureDomain)),
+        { ...OWNER_ROW_KEY, version: this.#ownerVersion },
+        ...pendingStartDomains.map((failureDomain) => this.#evacuations.expectedRow(failureDomain)),
         ...expected,
-        ...this.#expectedBy(acceptances),
+        ...this.#acceptancePreconditions(acceptances),
       ],
       set: [
         ...jobs.map(({ job, value }) => ({ ...jobRowKey(job.id, 'progress'), value })),
@@ -228,23 +228,26 @@
     };
   }
 
-  #noteAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
+  #reportAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
     if (acceptances.length === 0) return;
     this.#events.onAccepted(acceptances.map(({ key, value }) => ({ ...key, value, version })));
   }
 
   /** As for one that an entry writes itself: the configuration that let it through, and no job of this id. */
-  #expectedBy([first, ...others]: readonly HandedAcceptance[]): Transaction['expected'] {
+  #acceptancePreconditions([
+    first,
+    ...others
+  ]: readonly HandedAcceptance[]): Transaction['expected'] {
     if (first === undefined) return [];
     const config = { ...this.#configKey, version: first.configVersion };
     return [config, ...[first, ...others].map(({ key }) => ({ ...key, version: 0 }))];
   }
 
-  #noteWritten(batch: readonly Pending[], versionOf: (job: OwnedJob) => number): void {
+  #markWritten(batch: readonly PendingProgress[], versionOf: (job: OwnedJob) => number): void {
     batch.forEach(({ job, change }) => {
-      job.wrote(change, versionOf(job));
-      this.#unanswered.delete(job);
-      if (!job.isDirty) this.#dirty.delete(job);
+      job.markWritten(change, versionOf(job));
+      this.#unansweredWrites.delete(job);
+      if (!job.isDirty) this.#dirtyJobs.delete(job);
     });
     this.#events.onDurable(batch.map(({ job }) => job));
   }
@@ -253,42 +256,43 @@
    * Nobody but the owner writes progress: a row with another version holds an earlier write of our own whose answer was
    * lost, and the next write starts from there. If it holds anything else, the books are wrong and are read anew.
    */
-  #noteConflict({ jobs, startsIn, sentAt }: Batch, rows: readonly Row[]): void {
-    const owner = rows.find((row) => sameRow(row, OWNER_KEY));
+  #resolveConflict({ jobs, pendingStartDomains, sentAt }: WriteBatch, rows: readonly Row[]): void {
+    const owner = rows.find((row) => sameRow(row, OWNER_ROW_KEY));
     if (owner?.version !== this.#ownerVersion) {
-      this.#depose('a write found another owner');
+      this.#endOwnership('a write found another owner');
       return;
     }
     this.#ctx.metrics.count('progress.conflict');
-    if (startsIn.length > 0) this.#events.onEvacuationConflict(startsIn, rows, sentAt);
-    const written: Pending[] = [];
+    if (pendingStartDomains.length > 0)
+      this.#events.onEvacuationConflict(pendingStartDomains, rows, sentAt);
+    const written: PendingProgress[] = [];
     for (const pending of jobs) {
       const { job, value } = pending;
       const rowOf = (kind: JobRowKind): Row | undefined =>
         rows.find((each) => sameRow(each, jobRowKey(job.id, kind)));
       const row = rowOf('progress');
       if (row !== undefined && row.version !== job.progressVersion) {
-        if (!this.#unanswered.get(job)?.some((own) => own.equals(row.value))) {
-          this.#depose(`progress of job ${job.id} is not what this owner wrote`);
+        if (!this.#unansweredWrites.get(job)?.some((own) => own.equals(row.value))) {
+          this.#endOwnership(`progress of job ${job.id} is not what this owner wrote`);
           return;
         }
         job.progressVersion = row.version;
         if (row.value.equals(value)) written.push(pending);
       }
       if (job.progressVersion === 0 && rowOf('submission') === undefined) {
-        this.#dirty.delete(job);
-        this.#unanswered.delete(job);
+        this.#dirtyJobs.delete(job);
+        this.#unansweredWrites.delete(job);
         this.#events.onRemoved(job);
       } else if (!job.cancelled && rowOf('cancellation') !== undefined) {
-        job.noteCancelled();
+        job.markCancelled();
         this.#events.onCancelled(job);
       }
     }
-    this.#noteWritten(written, (job) => job.progressVersion);
+    this.#markWritten(written, (job) => job.progressVersion);
   }
 
-  #depose(reason: string): void {
+  #endOwnership(reason: string): void {
     this.stop();
-    this.#events.onDeposed(reason);
+    this.#events.onOwnershipLost(reason);
   }
 }
--- a/packages/cell/src/owner/room-maker.ts
+++ b/packages/cell/src/owner/room-maker.ts
@@ -70,7 +70,10 @@
     return withoutPlaced(wanted, this.#ledger.promise(wanted.group));
   }
 
-  #mayStopOthers({ madeRoomAt }: OwnedJob, { ageMs, objectiveMs }: Standing): boolean {
+  #mayStopOthers(
+    { lastPreemptionAt: madeRoomAt }: OwnedJob,
+    { ageMs, objectiveMs }: Standing,
+  ): boolean {
     return this.#input.now - madeRoomAt >= PREEMPT_PAUSE_MS && ageMs <= objectiveMs;
   }
 
--- a/packages/cell/src/owner/run-book.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -16,22 +16,22 @@
 import { durationsOf, roomDemand } from './standings.js';
 
 /** Checkpoints are written this often, in ms: a power failure of all machines costs what came since. */
-const KEEP_CHECKPOINTS_MS = 1500;
+const CHECKPOINT_WRITE_INTERVAL_MS = 1500;
 
 /** What the book's user does about a change. */
-export interface RunBookEvents {
+export interface RunRegistryEvents {
   /** Progress changed and has to be written. */
-  onChanged: (job: OwnedJob) => void;
+  onProgressChanged: (job: OwnedJob) => void;
   /** The guard of this VM should hear of it at once. */
-  onNews: (vm: string) => void;
+  onOrdersChanged: (vm: string) => void;
 }
 
 /** Jobs and runs of one term. */
-export class RunBook {
+export class RunRegistry {
   readonly jobs = new Map<string, OwnedJob>();
 
   /** Jobs that this term has ended and forgotten, until their rows are removed. */
-  readonly ended = new Set<string>();
+  readonly endedJobs = new Set<string>();
 
   readonly fleet: Fleet;
 
@@ -44,11 +44,11 @@
 
   readonly #health: FleetHealth;
 
-  readonly #events: RunBookEvents;
+  readonly #events: RunRegistryEvents;
 
   readonly #stopper: RunStopper;
 
-  #checkpointsKeptAt = -Infinity;
+  #checkpointsWrittenAt = -Infinity;
 
   constructor({
     ctx,
@@ -61,7 +61,7 @@
     fleet: Fleet;
     advice: AdviceBook;
     durations: DurationBook;
-    events: RunBookEvents;
+    events: RunRegistryEvents;
   }) {
     this.#ctx = ctx;
     this.fleet = fleet;
@@ -78,7 +78,7 @@
       fleet,
       onStop: ({ name, run }, vm, reason) => {
         this.log('run to be stopped', { task: name, run, reason });
-        events.onNews(vm);
+        events.onOrdersChanged(vm);
       },
     });
   }
@@ -97,23 +97,23 @@
   }
 
   /** Takes a job in, with the runs that an earlier owner wrote down. */
-  add(job: OwnedJob): void {
+  addJob(job: OwnedJob): void {
     this.jobs.set(job.id, job);
     job.progress
       .activeRuns()
       .forEach(({ ref, active }) => this.#assign(job, { ref, ...active, change: 0 }));
-    if (job.cancelled) this.cancel(job);
+    if (job.cancelled) this.cancelJob(job);
   }
 
   /** Opens occurrences that are due. */
-  openDue(wallMs: number): void {
+  openDueOccurrences(wallMs: number): void {
     this.jobs.forEach((job) => {
-      if (job.progress.openDue(wallMs)) this.#changed(job);
+      if (job.progress.openDue(wallMs)) this.#recordChange(job);
     });
   }
 
   /** Writes runs down for what a pass has placed. */
-  start({ wanted, placed }: Start): void {
+  startRuns({ wanted, placed }: Start): void {
     const { job, group } = wanted;
     const { occurrence, step } = group;
     // Single tasks have run numbers of their own.
@@ -125,11 +125,11 @@
         runner: this.fleet.get(vm).runner?.id ?? '',
       }));
       const run = job.progress.startRuns(runs);
-      const change = this.#changed(job);
+      const change = this.#recordChange(job);
       runs.forEach(({ ref, vm, runner }) => {
         const checkpoint = job.progress.findTask(ref)?.active?.checkpoint ?? '';
         this.#assign(job, { ref, run, vm, runner, checkpoint, change });
-        job.noteStart(this.fleet.get(vm).runner?.failureDomain ?? '', change);
+        job.addPendingStart(this.fleet.get(vm).runner?.failureDomain ?? '', change);
       });
       this.log('run assigned', {
         job: job.id,
@@ -143,15 +143,15 @@
   }
 
   /** Notes a run's end; answers the number of the change, undefined if it changed nothing. */
-  end(jobId: string, end: RunEnd): number | undefined {
+  endRun(jobId: string, end: RunEnd): number | undefined {
     const job = this.jobs.get(jobId);
     if (job === undefined) return undefined;
     const { maxAttempts } = job.terms;
     if (!job.progress.endRun(end, { maxAttempts })) {
       // It was taken up before, perhaps by a change that isn't durable yet.
-      return job.change;
+      return job.lastChange;
     }
-    const change = this.#changed(job);
+    const change = this.#recordChange(job);
     this.#ctx.metrics.count(`run.${end.how}`);
     this.log('run ended', {
       task: taskName(jobId, end.ref),
@@ -166,9 +166,9 @@
   }
 
   /** Counts a runner's crash against one run's task. False if that says nothing new. */
-  noteCrash(job: OwnedJob, crash: RunCrash): boolean {
+  recordCrash(job: OwnedJob, crash: RunCrash): boolean {
     if (!job.progress.noteCrash(crash)) return false;
-    this.#changed(job);
+    this.#recordChange(job);
     this.#ctx.metrics.count('run.crashed');
     if (job.progress.outcome !== 'open') {
       this.#ctx.metrics.count('job.given-up');
@@ -184,44 +184,44 @@
   }
 
   /** How long a task of this step is expected to take, in ms. */
-  expectedMs(job: OwnedJob, step: Step): number {
+  expectedTaskMs(job: OwnedJob, step: Step): number {
     return durationsOf(job, this.#durations)(step);
   }
 
   /** What a run's end says of its worker. */
-  noteHealth(worker: Worker, assignment: Assignment, how: RunEnd['how']): void {
+  recordRunHealth(worker: Worker, assignment: Assignment, how: RunEnd['how']): void {
     const { name, jobId, ref } = assignment;
     const job = this.jobs.get(jobId);
     if (how === 'done') {
       worker.health.noteDone();
-      if (job !== undefined) this.#noteDuration(job, assignment);
+      if (job !== undefined) this.#recordDuration(job, assignment);
     }
     if (how !== 'failed') return;
-    job?.avoid(ref, worker.vm, this.now());
-    this.noteFault(worker, name, 'a run failed');
+    job?.avoidWorker(ref, worker.vm, this.now());
+    this.recordFault(worker, name, 'a run failed');
   }
 
   /** Something went wrong on a worker that may be its fault. */
-  noteFault(worker: Worker, task: string, what: string): void {
+  recordFault(worker: Worker, task: string, what: string): void {
     if (!this.#health.noteFault(worker.health, task, this.now())) return;
     this.#ctx.metrics.count('worker.closed');
     this.log('worker closed', { vm: worker.vm, what, task });
   }
 
   /** Writes checkpoints down that were heard of, so that they outlast this owner and the runners. */
-  keepCheckpoints(): void {
-    if (this.now() - this.#checkpointsKeptAt < KEEP_CHECKPOINTS_MS) return;
-    this.#checkpointsKeptAt = this.now();
+  persistCheckpoints(): void {
+    if (this.now() - this.#checkpointsWrittenAt < CHECKPOINT_WRITE_INTERVAL_MS) return;
+    this.#checkpointsWrittenAt = this.now();
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId, ref, run, checkpoint }) => {
         const job = this.jobs.get(jobId);
-        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#changed(job);
+        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#recordChange(job);
       }),
     );
   }
 
   /** A run that surely doesn't run any more, or never did, although no end of it was listed. */
-  lose(worker: Worker, assignment: Assignment, reason: string): void {
+  markLost(worker: Worker, assignment: Assignment, reason: string): void {
     worker.assignments.delete(assignment.name);
     const { jobId, ref, run, checkpoint } = assignment;
     this.#ctx.metrics.count('run.lost');
@@ -230,32 +230,32 @@
       run,
       vm: worker.vm,
       reason,
-      ...this.#describeTime(assignment),
+      ...this.#describeTiming(assignment),
     });
-    this.end(jobId, { ref, run, how: 'lost', checkpoint });
+    this.endRun(jobId, { ref, run, how: 'lost', checkpoint });
   }
 
   /** Loses all runs on workers whose leases have surely ended. */
-  loseUnreachable(): void {
+  markUnreachableLost(): void {
     this.fleet.lost().forEach((worker) => {
       const silentMs = Math.round(this.now() - worker.contactAt);
       [...worker.assignments.values()].forEach((assignment) =>
-        this.lose(worker, assignment, `no contact for ${silentMs} ms`),
+        this.markLost(worker, assignment, `no contact for ${silentMs} ms`),
       );
     });
   }
 
   /** The job was cancelled by its caller. */
-  cancel(job: OwnedJob): void {
-    job.noteCancelled();
+  cancelJob(job: OwnedJob): void {
+    job.markCancelled();
     if (!job.progress.cancel()) return;
     this.log('job cancelled', { job: job.id });
-    this.#changed(job);
+    this.#recordChange(job);
     this.#stopper.stopAll(job, 'cancelled');
   }
 
   /** Asks for the end of a run, and of the rest of its gang. */
-  stop(assignment: Assignment, reason: string): void {
+  stopRun(assignment: Assignment, reason: string): void {
     const job = this.jobs.get(assignment.jobId);
     if (job !== undefined) this.#stopper.stop(job, assignment, reason);
   }
@@ -274,7 +274,7 @@
   }
 
   /** Forgets jobs that are over and written, and of which nothing is left on a worker. */
-  forgetEnded(): void {
+  dropEndedJobs(): void {
     const busy = new Set<string>();
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId }) => busy.add(jobId)),
@@ -282,7 +282,7 @@
     this.jobs.forEach((job, id) => {
       if (job.progress.outcome === 'open' || job.isDirty || busy.has(id)) return;
       this.jobs.delete(id);
-      this.ended.add(id);
+      this.endedJobs.add(id);
     });
   }
 
@@ -324,24 +324,24 @@
   }
 
   /** How long ago a run was assigned and first listed, in ms, and how far it had come. */
-  #describeTime({ assignedAt, runningAt, percent }: Assignment): object {
+  #describeTiming({ assignedAt, runningAt, percent }: Assignment): object {
     const assignedMs = Math.round(this.now() - assignedAt);
     if (runningAt === undefined) return { assignedMs };
     return { assignedMs, runningMs: Math.round(this.now() - runningAt), percent };
   }
 
-  #noteDuration(job: OwnedJob, { ref, runningAt, resumed }: Assignment): void {
+  #recordDuration(job: OwnedJob, { ref, runningAt, resumed }: Assignment): void {
     const step = job.submission.steps[ref.step];
     if (step === undefined || step.lasting || runningAt === undefined || resumed) return;
     const { estimateMs } = step;
     const actualMs = this.now() - runningAt;
     this.#durations.noteRun(job.submission.queue, { estimateMs, actualMs });
-    job.noteTook(step, actualMs);
+    job.noteTaskDuration(step, actualMs);
   }
 
-  #changed(job: OwnedJob): number {
-    const change = job.changed();
-    this.#events.onChanged(job);
+  #recordChange(job: OwnedJob): number {
+    const change = job.addChange();
+    this.#events.onProgressChanged(job);
     return change;
   }
 }
--- a/packages/cell/src/owner/run-watch.ts
+++ b/packages/cell/src/owner/run-watch.ts
@@ -1,7 +1,7 @@
 /** Looks over the runs of a cell for those that should go on elsewhere. */
 import { standsStill } from '../worker/standstill.js';
 import type { Assignment } from '../worker/worker.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 
 /**
  * A draining runner that says it may end within this time, in ms: a heartbeat is 1.5 s apart, and a stop with its
@@ -22,7 +22,7 @@
  * Stops runs that stand still, and gives their jobs another worker. What a runner that gives no answer listed last is old and
  * says nothing: after a crash each run there would count against the worker, which two of them close for 5 s or more.
  */
-export function stopStandstills(book: RunBook): void {
+export function stopStandstills(book: RunRegistry): void {
   const answering = [...book.fleet.all()].filter(({ runner }) => runner?.reachable);
   answering.forEach((worker) =>
     worker.assignments.forEach((assignment) => {
@@ -32,9 +32,9 @@
       if (job === undefined || step === undefined || step.lasting) return;
       const { estimateMs } = step;
       if (!standsStill(assignment, { estimateMs, contactAt: worker.contactAt })) return;
-      job.avoid(ref, worker.vm, book.now());
-      book.noteFault(worker, name, 'a run stood still');
-      book.stop(assignment, 'stood still');
+      job.avoidWorker(ref, worker.vm, book.now());
+      book.recordFault(worker, name, 'a run stood still');
+      book.stopRun(assignment, 'stood still');
     }),
   );
 }
@@ -43,7 +43,7 @@
  * Stops runs on draining runners that would end with them: those that save checkpoints, and tasks that last, shortly
  * before; the others as soon as it is clear that they won't be done in time, so that they start anew elsewhere.
  */
-export function evacuate(book: RunBook): void {
+export function evacuate(book: RunRegistry): void {
   [...book.fleet.all()].forEach((worker) => {
     if (!worker.runner?.draining) return;
     const leftMs = worker.drainEndsAt - book.now();
@@ -52,22 +52,22 @@
       if (step === undefined) return;
       const mayWait = step.checkpointing || step.lasting;
       const isDue = mayWait ? leftMs < EVACUATE_BEFORE_MS : workLeftMs(book, assignment) > leftMs;
-      if (isDue) book.stop(assignment, 'runner ends soon');
+      if (isDue) book.stopRun(assignment, 'runner ends soon');
     });
   });
 }
 
 /** How long the run still takes: by its own pace once it shows one, by what its queue's tasks take before. */
-function workLeftMs(book: RunBook, assignment: Assignment): number {
+function workLeftMs(book: RunRegistry, assignment: Assignment): number {
   const { jobId, ref, percent, firstPercent, runningAt, progressAt } = assignment;
   const job = book.jobs.get(jobId);
   const step = job?.submission.steps[ref.step];
   if (job === undefined || step === undefined) return 0;
-  if (runningAt === undefined) return book.expectedMs(job, step);
+  if (runningAt === undefined) return book.expectedTaskMs(job, step);
   const gained = percent - firstPercent;
   const sinceMs = book.now() - progressAt;
   if (gained < LEAST_PERCENT || progressAt - runningAt < LEAST_WATCH_MS) {
-    return Math.max(0, book.expectedMs(job, step) - (book.now() - runningAt));
+    return Math.max(0, book.expectedTaskMs(job, step) - (book.now() - runningAt));
   }
   return ((progressAt - runningAt) * (FULL_PERCENT - percent)) / gained - sinceMs;
 }
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -12,7 +12,7 @@
 import { OwnedJob } from './owned-job.js';
 import type { ReclaimBounds } from './pass-input.js';
 import { decidePass } from './placing-pass.js';
-import { RunBook, type RunBookEvents } from './run-book.js';
+import { RunRegistry, type RunRegistryEvents } from './run-registry.js';
 import { evacuate, stopStandstills } from './run-watch.js';
 import { WaitingReport } from './waiting-report.js';
 import {
@@ -40,12 +40,12 @@
   reclaim: ReclaimBounds;
   evacuations: Evacuations;
   config: () => CellConfig | undefined;
-  events: RunBookEvents;
+  events: RunRegistryEvents;
 }
 
 /** Jobs, workers and what is learned of both, for one term. */
 export class Scheduler {
-  readonly book: RunBook;
+  readonly book: RunRegistry;
 
   readonly advice = new AdviceBook();
 
@@ -63,7 +63,7 @@
     this.#options = options;
     const { ctx, leaseMs, earlierGrantMs, evacuations, events } = options;
     this.#startedAt = ctx.clock.now();
-    this.book = new RunBook({
+    this.book = new RunRegistry({
       ctx,
       advice: this.advice,
       durations: this.#durations,
@@ -81,7 +81,7 @@
     );
     const expectedMs = durationsOf(job, this.#durations);
     this.#means.note(submission.queue, totalWork(submission.steps, expectedMs));
-    this.book.add(job);
+    this.book.addJob(job);
     if (job.progress.begun) return;
     const { account, queue, acceptedAtMs, steps } = submission;
     this.book.log('job taken up', {
@@ -102,17 +102,17 @@
 
   /** One look over everything. Answers what the placement advisor is to be asked, the most urgent first. */
   pass(): AdviceQuestion[] {
-    this.book.loseUnreachable();
+    this.book.markUnreachableLost();
     stopStandstills(this.book);
     evacuate(this.book);
     // Also of workers that were not in contact when it was evacuated, as after a change of owner.
     this.#options.evacuations.all.forEach((each) => withdrawStarts(this.book, each));
-    this.book.keepCheckpoints();
-    this.book.openDue(this.#options.ctx.clock.wall());
+    this.book.persistCheckpoints();
+    this.book.openDueOccurrences(this.#options.ctx.clock.wall());
     this.#refreshTerms();
     const questions = this.#decide();
     this.#waitingReport.look(this.book);
-    this.book.forgetEnded();
+    this.book.dropEndedJobs();
     this.advice.keepOnly((jobId) => this.book.jobs.has(jobId));
     return questions;
   }
@@ -125,7 +125,7 @@
       this.book.log('failure domain taken back', { failureDomain, version, knownForMs });
       return;
     }
-    this.book.jobs.forEach((job) => job.forgetStarts(failureDomain));
+    this.book.jobs.forEach((job) => job.dropPendingStarts(failureDomain));
     const runs = withdrawStarts(this.book, failureDomain);
     this.book.log('failure domain evacuated', { failureDomain, version, knownForMs, ...runs });
   }
@@ -134,7 +134,7 @@
     const queues = new Map(this.#options.config()?.queues.map((queue) => [queue.name, queue]));
     this.book.jobs.forEach((job) => {
       const queue = queues.get(job.submission.queue);
-      if (queue !== undefined) job.noteTerms(queue);
+      if (queue !== undefined) job.setTerms(queue);
     });
   }
 
@@ -159,11 +159,11 @@
       advice: this.advice,
       knowsWorkers: this.book.now() - this.#startedAt >= KNOWS_WORKERS_AFTER_MS,
     });
-    starts.forEach((start) => this.book.start(start));
+    starts.forEach((start) => this.book.startRuns(start));
     stops.forEach(({ occupant, forJob }) => {
       const [first] = occupant.assignments;
-      if (first !== undefined) this.book.stop(first, `room for ${forJob.id}`);
-      forJob.noteRoomMade(this.book.now());
+      if (first !== undefined) this.book.stopRun(first, `room for ${forJob.id}`);
+      forJob.notePreemption(this.book.now());
     });
     return questions;
   }
--- a/packages/cell/src/owner/standings.steps.ts
+++ b/packages/cell/src/owner/standings.steps.ts
@@ -41,7 +41,7 @@
 When('one of them took {int} s', function (this: StandingSteps, seconds: number) {
   const [step] = this.standingJob.submission.steps;
   assert.ok(step);
-  this.standingJob.noteTook(step, seconds * 1000);
+  this.standingJob.noteTaskDuration(step, seconds * 1000);
 });
 
 When('a run of one of its tasks failed', function (this: StandingSteps) {
--- a/packages/cell/src/owner/standings.ts
+++ b/packages/cell/src/owner/standings.ts
@@ -36,7 +36,8 @@
  * what the queue's tasks make of its estimate, which may be off by a factor of three.
  */
 export function durationsOf(job: OwnedJob, durations: DurationBook): (step: Step) => number {
-  return (step) => job.tookMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
+  return (step) =>
+    job.lastTaskMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
 }
 
 /** Most accelerators that the job uses at once if it runs unhindered: those of its widest step. */
--- a/packages/cell/src/owner/waiting-report.steps.ts
+++ b/packages/cell/src/owner/waiting-report.steps.ts
@@ -2,21 +2,29 @@
 import { Then, When } from '@cucumber/cucumber';
 import { eventually } from '../testing/cell-world.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
-import { cellOf, handIn, hasBegun, type CellSteps } from './cell-steps.support.js';
+import {
+  cellOf,
+  submitJob,
+  waitUntilRunning,
+  type CellTestContext,
+} from './cell-test-context.support.js';
 
 const WHOLE_WORKER = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
 
-When('a job that takes 13 s on all of a worker is handed in', async function (this: CellSteps) {
-  const steps = [testStep({ demand: WHOLE_WORKER, estimateMs: 13_000 })];
-  await handIn(this, { steps, spec: { workMs: 13_000 } });
-  await hasBegun(this);
-});
+When(
+  'a job that takes 13 s on all of a worker is handed in',
+  async function (this: CellTestContext) {
+    const steps = [testStep({ demand: WHOLE_WORKER, estimateMs: 13_000 })];
+    await submitJob(this, { steps, spec: { workMs: 13_000 } });
+    await waitUntilRunning(this);
+  },
+);
 
 When(
   'a gang that needs all {int} workers is handed in',
-  async function (this: CellSteps, tasks: number) {
+  async function (this: CellTestContext, tasks: number) {
     const steps = [testStep({ tasks, gang: true, demand: WHOLE_WORKER })];
-    await handIn(this, { steps, spec: { gangs: { 0: tasks }, workMs: 300 } });
+    await submitJob(this, { steps, spec: { gangs: { 0: tasks }, workMs: 300 } });
   },
 );
 
@@ -24,7 +32,7 @@
   'within {int} s the owner logs that the gang waits, with {int} usable workers and {int} of {int} accelerators free',
   { timeout: 20_000 },
   async function (
-    this: CellSteps,
+    this: CellTestContext,
     seconds: number,
     usable: number,
     free: number,
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -1,7 +1,7 @@
 /** Says in the log why groups wait: what the owner believes of the workers, beside what was asked for. */
 import type { Worker } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 
 /** Groups that have waited for less aren't told of, in ms: a busy service makes most wait a while. */
 const TELL_AFTER_MS = 5000;
@@ -24,7 +24,7 @@
   #lookedAt = -Infinity;
 
   /** After a pass: what was ready before it and still waits. */
-  look(book: RunBook): void {
+  look(book: RunRegistry): void {
     const now = book.now();
     if (now - this.#lookedAt < LOOK_EVERY_MS) return;
     this.#lookedAt = now;
@@ -68,7 +68,7 @@
 }
 
 /** How many workers may be used, why others may not, and how the accelerators of those that may stand in the books. */
-function describeWorkers(book: RunBook): object {
+function describeWorkers(book: RunRegistry): object {
   const workers = [...book.fleet.all()];
   const usable = workers.filter((worker) => book.fleet.isPlaceable(worker));
   const sum = (of: (worker: Worker) => number): number =>
--- a/packages/cell/src/owner/wanted-groups.ts
+++ b/packages/cell/src/owner/wanted-groups.ts
@@ -86,7 +86,7 @@
     maxPerWorker: step.maxPerWorker,
     isUrgent: job.terms.priority === 0,
     present: tasksByWorker(progress),
-    avoided: job.avoided({ occurrence: occurrence.index, step: stepIndex }, now),
+    avoided: job.avoidedWorkers({ occurrence: occurrence.index, step: stepIndex }, now),
   };
   return splitSuspects(step, progress, indexes).map(({ isSuspect: suspect, indexes: own }) => ({
     job,
--- a/packages/cell/src/testing/cell-world.support.ts
+++ b/packages/cell/src/testing/cell-world.support.ts
@@ -8,7 +8,7 @@
 import { jobRowKey, unpackProgress, unpackSubmission } from '../job/job-rows.js';
 import type { JobProgress } from '../job/progress.js';
 import type { JobRequest, Step } from '../job/submission.js';
-import { OWNER_KEY, unpackOwner } from '../owner/owner-row.js';
+import { OWNER_ROW_KEY, unpackOwnerRow } from '../owner/owner-row.js';
 import { HOST, KEY, PREFIX, TEST_QUEUE, testStep } from './test-jobs.support.js';
 import type { RowKey, Transaction } from '../store/row-store.js';
 import { LogKeeper, type LoggedLine } from './log-keeper.support.js';
@@ -233,8 +233,8 @@
 
   /** The id of the entry that owns the cell, by its row. */
   owner(): EntryVm | undefined {
-    const row = this.tables.get(OWNER_KEY);
-    const holder = row && unpackOwner(row.value).holder?.id;
+    const row = this.tables.get(OWNER_ROW_KEY);
+    const holder = row && unpackOwnerRow(row.value).holder?.id;
     return this.entries.find(({ id }) => id === holder);
   }
 
