--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -1,4 +1,4 @@
-/** The owner of a cell at work, for one term: recovery, contacts of guards, passes, writes. */
+/** One term of a cell's owner: loads the jobs, answers contacts from guards, runs placing passes, writes progress. */
 import {
   ProblemError,
   problem,
@@ -35,77 +35,77 @@
 import type { RunRegistry } from './run-registry.js';
 import { Scheduler } from './scheduler.js';
 
-/** Pause between passes when nothing happens, in ms: time alone changes what may be placed. */
+/** Interval between passes when no event occurs, in ms: time alone can change what may be placed. */
 const PASS_INTERVAL_MS = 200;
 
 /**
- * Shortest pause between two passes, in ms: what happens meanwhile is decided together, as each pass looks over all workers.
- * An urgent job of 2.5 s doesn't feel it.
+ * Minimum interval between passes, in ms. Each pass goes over all workers, so events within the interval share one. The delay
+ * doesn't matter even to an urgent job of 2.5 s.
  */
 const MIN_PASS_INTERVAL_MS = 25;
 
 /**
- * An owner that the store hasn't confirmed for this long gives no authority any more, in ms: longer than the outages
- * that tasks are to outlive, since a rival needs the store too. A new owner waits as long for workers that it can't
- * reach.
+ * An owner that the store hasn't confirmed for this long grants no more leases, in ms. Longer than the store outages that
+ * tasks have to survive, which is safe because a rival needs the store too. A new owner waits as long for workers that it
+ * can't reach, since its predecessor may have granted leases until then.
  */
 export const LEASE_MAX_UNCONFIRMED_MS = 12_000;
 
 /**
- * One that hasn't been confirmed for this long decides nothing, in ms: a rival takes over after about as long, and what
- * its silent workers do is then the rival's to judge.
+ * An owner that the store hasn't confirmed for this long runs no passes, in ms: a rival takes over after about as long, and
+ * then only the rival may judge workers that have stopped reporting.
  */
 const DECISION_MAX_UNCONFIRMED_MS = 1500;
 
-/** A guard is given this long to take a poke, in ms. */
+/** Time-out of `cell.poke` calls to guards, in ms. */
 const NOTIFY_TIMEOUT_MS = 1000;
 
-/** From the order in an owner's answer to its last try at a runner, in ms: the contact's time, and the guard's for a start. */
+/** Longest time from an order in the owner's answer to its last attempt at the runner, in ms: a contact plus a guard's start. */
 const ORDER_DELIVERY_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
 
-/** What is known of evacuations is good for this long at least, in ms: two reads of them. */
+/** Minimum time for which known evacuations stay valid, in ms: two reads of them. */
 const MIN_EVACUATION_VALIDITY_MS = 900;
 
-/** The operator's evacuations. */
+/** Where the operator's evacuations are stored, and how soon they apply. */
 export interface EvacuationOptions {
   source: EvacuationSource;
-  /** Nothing may start in an evacuated failure domain after this time, in ms. */
+  /** No run may start in an evacuated failure domain after this time, in ms. */
   applyMs: number;
 }
 
-/** What an owner is made of. */
+/** Dependencies and settings of an owner. */
 export interface CellOwnerOptions {
   ctx: ProcessContext;
   store: RowStore;
-  /** Undefined where no queue needs it. */
+  /** Undefined if no queue needs advice. */
   advisor: Advisor | undefined;
   term: number;
   ownerVersion: number;
-  /** Longest authority that a contact gives, in ms. */
+  /** Longest lease that a contact grants, in ms. */
   leaseMs: number;
   reclaim: ReclaimBounds;
   evacuation: EvacuationOptions;
-  /** Ended jobs are shown for this long, in ms. */
+  /** Ended jobs stay visible for this long, in ms. */
   keepEndedMs: number;
   config: () => CellConfig | undefined;
-  /** Where the operator's configuration stands. */
+  /** Row of the operator's configuration. */
   configKey: RowKey;
   /** When the store last confirmed this owner, on the monotonic clock. */
   confirmedAt: () => number;
-  /** Writes in this owner's name. */
+  /** Sends a write that takes effect only while this entry owns the cell. */
   transact: FencedTransact;
-  /** This term is over, for the reason given. */
+  /** The term has ended, for the given reason. */
   onOwnershipLost: (reason: string) => void;
 }
 
-/** One term. */
+/** Owner of a cell for one term. */
 export class CellOwner {
   readonly #options: CellOwnerOptions;
 
   /** All jobs of the cell. */
   readonly #jobView: JobView;
 
-  /** Started with the term: what it reads first, no earlier owner can change any more. */
+  /** Started with the term, so that no earlier owner can change what it reads first. */
   readonly #jobFollower: TableFollower;
 
   readonly #scheduler: Scheduler;
@@ -220,12 +220,12 @@
     clearTimeout(this.#passTimer);
   }
 
-  /** A row that an entry has written: the feed may tell of it a second later. */
+  /** Applies a job row that an entry has written; the store's feed may deliver it a second later. */
   applyWrittenRow(row: Row): void {
     this.#jobView.apply({ ...row, deleted: false });
   }
 
-  /** Accepts a job with the owner's next write. Throws ProblemError `not-owner` before the books are read: nothing was done. */
+  /** Accepts a job in the owner's next write. Throws ProblemError `not-owner`, with nothing done, until the jobs are loaded. */
   async accept(call: AcceptanceCall): Promise<AcceptanceResult> {
     if (!this.#loaded || this.#stopped) throw notOwnerError();
     if (this.#jobView.get(call.jobId) !== undefined) return { outcome: 'exists' };
@@ -234,26 +234,26 @@
     return result;
   }
 
-  /** How many jobs of a queue wait; undefined before the books are read. */
+  /** Number of waiting jobs of a queue; undefined until the jobs are loaded. */
   countWaiting(queue: string): number | undefined {
     return this.#loaded && !this.#stopped ? this.#jobView.waiting(queue) : undefined;
   }
 
   #onJobChanged(known: KnownJob): void {
     if (!this.#loaded || this.#stopped) return;
-    const own = this.#registry.jobs.get(known.id);
-    if (own !== undefined) {
-      if (known.cancelled && !own.cancelled) this.#registry.cancelJob(own);
+    const owned = this.#registry.jobs.get(known.id);
+    if (owned !== undefined) {
+      if (known.cancelled && !owned.cancelled) this.#registry.cancelJob(owned);
       this.#schedulePass();
       return;
     }
-    // A job that this owner has ended isn't taken up again, also when a feed that is behind tells of it only now.
+    // A job that this owner has ended isn't added again, even if a lagging feed delivers it only now.
     if (this.#registry.endedJobs.has(known.id) || known.progressVersion > 0) return;
     this.#scheduler.add(known);
     this.#schedulePass();
   }
 
-  /** Takes up what a guard tells and answers its orders. Throws ProblemError `not-owner` before the books are read. */
+  /** Applies a guard's report and returns its orders. Throws ProblemError `not-owner` until the jobs are loaded. */
   handleContact(req: CellContact, peer: Peer): CellOrders {
     if (!this.#loaded || this.#stopped) throw notOwnerError();
     const { term } = this.#options;
@@ -265,14 +265,14 @@
     if (applyContact(this.#registry, worker, req)) this.#schedulePass();
     const orders = ordersFor(this.#registry, worker, req);
     const unconfirmedMs = this.#unconfirmedMs();
-    const told = { term, unconfirmedMs, ...orders };
-    if (unconfirmedMs >= LEASE_MAX_UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
+    const answer = { term, unconfirmedMs, ...orders };
+    if (unconfirmedMs >= LEASE_MAX_UNCONFIRMED_MS) return { ...answer, leaseMs: 0, starts: [] };
     const leaseMs = leaseLengthMs(worker.runner, this.#options.leaseMs);
     worker.grant(this.#registry.now(), leaseMs);
-    return { ...told, leaseMs };
+    return { ...answer, leaseMs };
   }
 
-  /** Calls that were meant for the life before may have given the one that took its id the longest lease there is. */
+  /** Calls meant for the runner's previous life may have given the new life with the same id the longest possible lease. */
   #grantToReplacedRunner(worker: Worker, { runner }: CellContact): void {
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
@@ -280,7 +280,7 @@
     worker.grant(this.#registry.now(), this.#options.leaseMs);
   }
 
-  /** At once, so that what starts of them goes with the next write of a slow store, not with the one after. */
+  /** Runs a pass at once: with a slow store, starts of these jobs then go into the next write, not the one after. */
   #addAccepted(rows: readonly Row[]): void {
     rows.forEach((row) => this.applyWrittenRow(row));
     this.#runPass();
@@ -295,7 +295,10 @@
     const { ctx, term } = this.#options;
     [...this.#jobView.all()].forEach((known) => this.#scheduler.add(known));
     this.#loaded = true;
-    ctx.log.info({ term, jobs: this.#registry.jobs.size, rows }, 'owner at work');
+    ctx.log.info(
+      { term, jobs: this.#registry.jobs.size, rows },
+      'owner loaded the jobs of the cell',
+    );
     this.#runPass();
   }
 
@@ -326,7 +329,7 @@
       this.#adviceDesk?.want(questions);
     } catch (err) {
       this.#options.ctx.metrics.count('pass.failed');
-      this.#options.ctx.log.error({ err }, 'a placing pass failed');
+      this.#options.ctx.log.error({ err }, 'placing pass failed');
     }
     this.#options.ctx.metrics.timing('pass', this.#registry.now() - startedAt);
   }
@@ -337,7 +340,7 @@
     this.#schedulePass();
   }
 
-  /** Makes the guard come for its orders. If that fails, its next contact brings them. */
+  /** Asks the guard to fetch its orders now. If that fails, its next contact brings them. */
   #notifyGuard(vm: string): void {
     const peer = this.#guardPeers.get(vm);
     if (peer === undefined || peer.closed || this.#notifying.has(vm) || this.#stopped) return;
@@ -346,18 +349,21 @@
       this.#notifying.delete(vm);
       peer.call('cell.poke', {}, { timeoutMs: NOTIFY_TIMEOUT_MS }).catch((err: unknown) => {
         this.#options.ctx.metrics.count('owner.poke-failed');
-        this.#options.ctx.log.info({ vm, err: String(err) }, 'poking a guard failed');
+        this.#options.ctx.log.info(
+          { vm, err: String(err) },
+          'could not ask the guard to fetch its orders',
+        );
       });
     });
   }
 }
 
-/** Thrown to a guard that calls the wrong entry. */
+/** Error for callers that take this entry for the owner of the cell. */
 export function notOwnerError(): ProblemError {
   return new ProblemError(
     problem('not-owner', {
-      detail: 'This entry does not own the cell, or has not read its jobs yet.',
-      remedy: 'Look the owner up in the store and call it.',
+      detail: 'This entry does not own the cell, or has not loaded its jobs yet.',
+      remedy: 'Look up the owner in the store and call it.',
     }),
   );
 }
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -1,4 +1,4 @@
-/** What a guard tells the owner is taken into the books here, and what is to be so on its runner is worked out. */
+/** Applies a guard's report to the owner's registry, and computes the orders for its runner. */
 import type {
   CellContact,
   CellOrders,
@@ -15,13 +15,13 @@
 import type { RunRegistry } from './run-registry.js';
 import { noteUnaccounted } from './unaccounted-runs.js';
 
-/** A worker that refused a start for want of room is left alone this long, in ms: a stop takes about as long. */
+/** A worker that refused a start for lack of room is given no runs for this long, in ms: a stop takes about as long. */
 const NO_ROOM_BACKOFF_MS = 300;
 
-/** One whose runner didn't answer, or says that it is unhealthy, in ms. */
+/** The same for a worker whose runner didn't answer or reports itself unhealthy, in ms. */
 const UNAVAILABLE_BACKOFF_MS = 2000;
 
-/** Orders without what the term says of itself. */
+/** Orders without the fields about the owner's term. */
 export type RunnerOrders = Omit<CellOrders, 'term' | 'leaseMs' | 'unconfirmedMs'>;
 
 const NO_ORDERS: RunnerOrders = {
@@ -32,7 +32,7 @@
   confirmedEnd: 0,
 };
 
-/** Takes up one contact. True if it may let something start or stop; most tell of progress only. */
+/** Applies one contact. True if runs may have to start or stop because of it; most contacts report progress only. */
 export function applyContact(registry: RunRegistry, worker: Worker, contact: CellContact): boolean {
   const earlier = worker.runner;
   const wasThere = registry.fleet.isPlaceable(worker);
@@ -40,7 +40,11 @@
   const runsBefore = worker.assignments.size;
   worker.noteContact(registry.now(), contact.runner);
   if (contact.runner !== undefined && contact.runner.id !== earlierLife) {
-    registry.log('runner known', { vm: worker.vm, runner: contact.runner.id, earlierLife });
+    registry.log('new runner life reported', {
+      vm: worker.vm,
+      runner: contact.runner.id,
+      earlierLife,
+    });
   }
   contact.ends.forEach((end) => applyEnd(registry, worker, end));
   contact.refused.forEach((refused) => applyRefusal(registry, worker, refused));
@@ -65,13 +69,13 @@
   return ends.length > 0 || refused.length > 0 || hasChanged || isOther || !wasThere;
 }
 
-/** False if something may start, or may not any more, by what the runner says of itself. */
+/** False if the runner's facts changed in a way that affects what may start there. */
 function isSameRunner(a: RunnerFacts | undefined, b: RunnerFacts | undefined): boolean {
   if (a === undefined || b === undefined) return a === b;
   return a.id === b.id && a.draining === b.draining && isSameDemand(a.capacity, b.capacity);
 }
 
-/** Sets the pace of what fills the worker by how its serving tasks do. */
+/** Adapts the speed of filler runs on the worker to the latency of its serving tasks. */
 function adjustPace(registry: RunRegistry, worker: Worker, { running }: CellContact): void {
   const paces = running.flatMap(({ pace }) => pace ?? []);
   if (paces.length > 0) worker.pacer.adopt(Math.min(...paces));
@@ -82,17 +86,17 @@
   const before = worker.pacer.percent;
   worker.pacer.look(serving, registry.now());
   const { percent } = worker.pacer;
-  if (percent !== before) registry.log('worker paced', { vm: worker.vm, percent, before, serving });
+  if (percent !== before) registry.log('pace changed', { vm: worker.vm, percent, before, serving });
 }
 
-/** What is to be so: starts that aren't known there yet, stops of what shouldn't run. */
+/** Computes the orders for the desired state: starts that the guard doesn't know yet, stops of runs that shouldn't go on. */
 export function ordersFor(
   registry: RunRegistry,
   worker: Worker,
   contact: CellContact,
 ): RunnerOrders {
   const confirmedEnd = registry.confirmEnds(worker);
-  // Without a runner's listing nothing follows from what isn't listed.
+  // Without a runner's report, nothing follows from a run that isn't reported.
   if (contact.runner === undefined) return { ...NO_ORDERS };
   const known = new Set(
     [...contact.running, ...contact.inProgress, ...contact.ends, ...contact.refused].map(runKey),
@@ -102,7 +106,7 @@
     (assignment) => assignment.runner === runner,
   );
   const unstarted = here.filter((assignment) => !known.has(runKey(toRunName(assignment))));
-  // Placed anew once it is barred.
+  // Stopped, and placed again once the runner has barred it.
   unstarted
     .filter((assignment) => registry.orders.lacksTicket(assignment))
     .forEach((assignment) => registry.stopRun(assignment, 'ticket expired'));
@@ -112,11 +116,11 @@
   const wanted = unstarted.filter((assignment) => registry.orders.isWanted(assignment));
   const ordered = wanted.filter((assignment) => registry.orders.mayOrder(assignment, worker));
   const starts = ordered.map((assignment): StartOrder => registry.orders.orderFor(assignment));
-  // Not listed and not to start: barred there, so that no late call starts it. Also of a job that is over, as nothing else would
-  // ever ask what became of the run: a member of a gang that others' ends completed would keep its room for good.
+  // Neither reported nor to be started: a stop bars the run there, so that no late call starts it. Also runs of jobs that have
+  // ended, since nothing else asks what became of them: a gang member whose step others completed would keep its room for good.
   const barred = unstarted.filter((each) => !wanted.includes(each)).map(toRunName);
   const stops = [...listed, ...barred].map(({ task, run }) => ({ task, run }));
-  // Neither told of nor ordered anything.
+  // Neither reported nor ordered to start or stop.
   noteUnaccounted(
     registry,
     worker,
@@ -125,7 +129,7 @@
   return { runner, starts, stops, confirmedEnd, paces: paceOrdersFor(registry, worker, contact) };
 }
 
-/** Nothing, until something was paced here: a runner lets each run work in full by itself. */
+/** Empty until the first slowdown on this worker: by default a runner lets each run work at full speed. */
 function paceOrdersFor(
   registry: RunRegistry,
   worker: Worker,
@@ -159,12 +163,19 @@
   if (assignment !== undefined) worker.assignments.delete(assignment.name);
 }
 
-/** Its number says that it was taken up before, yet its run is still in the books: one of the two is wrong. */
+/** Reports an end whose number was applied before although its run is still assigned: one of the two is wrong. */
 function reportSkippedEnd(registry: RunRegistry, worker: Worker, end: ListedEnd): void {
   if (assignmentOf(worker, end) === undefined) return;
   const { number, task, run, how } = end;
   registry.count('end.skipped');
-  registry.log('end skipped', { vm: worker.vm, runner: worker.runner?.id, number, task, run, how });
+  registry.log('skipped the end of a run that is still assigned', {
+    vm: worker.vm,
+    runner: worker.runner?.id,
+    number,
+    task,
+    run,
+    how,
+  });
 }
 
 function applyRefusal(
@@ -177,13 +188,13 @@
   if (reason === 'ticket') registry.orders.noteTicketRefused(assignment);
   if (reason === 'room') worker.avoid(registry.now() + NO_ROOM_BACKOFF_MS);
   if (reason === 'unavailable') worker.avoid(registry.now() + UNAVAILABLE_BACKOFF_MS);
-  registry.markLost(worker, assignment, `refused: ${reason}`);
+  registry.markLost(worker, assignment, `start refused: ${reason}`);
 }
 
 /**
- * The runner is another one, it never said that it leaves, and its guard can't tell what was there as it was started anew
- * itself. What had begun there counts, with nothing known of its age: otherwise a guard that is lost with each crash would let a
- * task go on crashing runners.
+ * Handles a runner that was replaced without draining, and whose guard can't report what ran there because it was restarted
+ * itself. Every run that had started there is counted, with unknown age: otherwise a task could go on crashing runners if the
+ * guard is lost with each crash.
  */
 function noteUnreportedCrash(
   registry: RunRegistry,
@@ -200,8 +211,8 @@
 }
 
 /**
- * A new life of the runner runs nothing of the one before; without a lease nothing runs. What the new life tells of may run there
- * all the same: a start that was on its way reaches whichever life has the runner's id.
+ * Marks runs as lost that can't be running: those of an earlier life of the runner, and all if the lease has lapsed. A run of an
+ * earlier life that the new one reports may run there all the same: a start in flight reaches whichever life has the runner's id.
  */
 function markImpossibleRunsLost(registry: RunRegistry, worker: Worker, contact: CellContact): void {
   const { runner, running, inProgress } = contact;
@@ -209,7 +220,7 @@
   const isTold = (assignment: Assignment): boolean =>
     [...running, ...inProgress].some((run) => assignmentOf(worker, run) === assignment);
   [...worker.assignments.values()].forEach((assignment) => {
-    // Nearly always all are of the present life, and nothing is looked up.
+    // Nearly always all runs are of the present life, and nothing has to be searched.
     const isOver = assignment.runner !== runner.id && !isTold(assignment);
     if (isOver) registry.markLost(worker, assignment, 'runner replaced');
     else if (runner.leaseLapsed) registry.markLost(worker, assignment, 'lease lapsed');
--- a/packages/cell/src/owner/crash-attribution.ts
+++ b/packages/cell/src/owner/crash-attribution.ts
@@ -1,4 +1,4 @@
-/** What a guard tells of its runner's crash is counted against the tasks that may have caused it. */
+/** Counts a runner's crash against the tasks that may have caused it. */
 import type { RunnerCrash } from '@zincspan/core';
 import { suspectsAmong } from '../job/crash-record.js';
 import type { RunCrash } from '../job/progress.js';
@@ -6,7 +6,7 @@
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { RunRegistry } from './run-registry.js';
 
-/** Takes it up. It may be told again, also of runs that were given up before: each run counts once. */
+/** Counts a crash that a guard reports. It may be reported again, also for runs already marked lost: each run counts once. */
 export function recordReportedCrash(
   registry: RunRegistry,
   { vm }: Worker,
@@ -23,7 +23,7 @@
   });
 }
 
-/** The same of a crash that no guard could tell of: how old the run was isn't known. */
+/** Counts a crash that no guard could report: the age of the run isn't known. */
 export function recordUnreportedCrash(
   registry: RunRegistry,
   { vm }: Worker,
@@ -43,7 +43,7 @@
   const { run, ranMs, livedMs, isAlone } = crash;
   const { atStart, alone, all } = job.progress.findTask(crash.ref)?.crashes ?? {};
   const { outcome } = job.progress;
-  registry.log('runner crashed under a run', {
+  registry.log('runner crash counted against task', {
     ...inputs,
     run,
     ranMs,
--- a/packages/cell/src/owner/ended-job-sweeper.ts
+++ b/packages/cell/src/owner/ended-job-sweeper.ts
@@ -1,38 +1,38 @@
-/** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would only grow. */
+/** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would grow without bound. */
 import type { ProcessContext } from '@zincspan/core';
 import { jobRowKey, type JobRowKind } from '../job/job-rows.js';
 import type { JobView, KnownJob } from '../job/job-view.js';
 import type { RowStore } from '../store/row-store.js';
 import { OWNER_ROW_KEY } from './owner-row.js';
 
-/** Pause between looks, in ms. */
+/** Interval between sweeps, in ms. */
 const SWEEP_INTERVAL_MS = 5000;
 
-/** Jobs removed at a look: three rows each, and a transaction takes 100 entries. */
+/** Maximum number of jobs removed in a sweep: three rows each, and a transaction takes 100 entries. */
 const JOBS_PER_SWEEP = 20;
 
 const WRITE_TIMEOUT_MS = 1500;
 
 const ROW_KINDS: JobRowKind[] = ['submission', 'progress', 'cancellation'];
 
-/** What the sweeper works on. */
+/** Dependencies and settings of the sweeper. */
 export interface EndedJobSweeperOptions {
   ctx: ProcessContext;
   store: RowStore;
   view: JobView;
-  /** Version of the owner's row: only the owner removes. */
+  /** Version of the owner row: only the owner removes jobs. */
   ownerVersion: number;
-  /** Jobs are kept for this long after their end was first seen here, in ms. */
+  /** Jobs are kept for this long after this owner first saw their end, in ms. */
   keepEndedMs: number;
-  /** The rows of this job are gone. */
+  /** The rows of this job were removed. */
   onRemoved: (jobId: string) => void;
 }
 
-/** One term's sweeper. */
+/** Sweeps the jobs table during one term. */
 export class EndedJobSweeper {
   readonly #options: EndedJobSweeperOptions;
 
-  /** When each ended job was first seen so, on the monotonic clock. */
+  /** When the end of each job was first seen, on the monotonic clock. */
   readonly #endSeenAt = new Map<string, number>();
 
   #timer: NodeJS.Timeout | undefined;
@@ -63,7 +63,7 @@
       if (due.length > 0) await this.#remove(due);
     } catch (err) {
       this.#options.ctx.metrics.count('sweep.failed');
-      this.#options.ctx.log.error({ err }, 'removing ended jobs failed');
+      this.#options.ctx.log.error({ err }, 'could not remove ended jobs');
     }
     if (!this.#stopped) this.start();
   }
@@ -100,7 +100,7 @@
   }
 }
 
-/** Ended, and nothing of it can run any more. */
+/** True if the job has ended and no run of it may be active any more. */
 function hasFullyEnded(progress: KnownJob['progress']): boolean {
   if (progress === undefined || progress.outcome === 'open') return false;
   return progress.activeRuns().length === 0;
--- a/packages/cell/src/owner/link-key.ts
+++ b/packages/cell/src/owner/link-key.ts
@@ -1,4 +1,4 @@
-/** The key by which links between our processes prove themselves: a row that the first process to come makes. */
+/** Shared key by which the cell's processes authenticate links between them: a row that the first process creates. */
 import { randomBytes } from 'node:crypto';
 import type { ProcessContext } from '@zincspan/core';
 import { readRow } from '../store/read-row.js';
@@ -10,7 +10,7 @@
 const STORE_TIMEOUT_MS = 1200;
 const RETRY_DELAY_MS = 150;
 
-/** Reads the key, or makes it. Tries until the store answers. */
+/** Reads the key, or creates it. Retries until the store answers. */
 export async function getOrCreateLinkKey(ctx: ProcessContext, store: RowStore): Promise<string> {
   for (let attempt = 1; ; attempt++) {
     const read = await readRow(store, LINK_KEY_ROW_KEY, { timeoutMs: STORE_TIMEOUT_MS });
@@ -23,11 +23,11 @@
         },
         { timeoutMs: STORE_TIMEOUT_MS },
       );
-      ctx.log.info({ outcome: created.outcome }, 'link key made');
+      ctx.log.info({ outcome: created.outcome }, 'tried to create the link key');
       // Read back in any case: another process may have been first.
       if (created.outcome === 'done' || created.outcome === 'conflict') continue;
     }
-    if (attempt % 10 === 1) ctx.log.warn({ attempt }, 'link key not read yet');
+    if (attempt % 10 === 1) ctx.log.warn({ attempt }, 'link key not read from store yet, retrying');
     await pause(RETRY_DELAY_MS);
   }
 }
--- a/packages/cell/src/owner/owned-job.ts
+++ b/packages/cell/src/owner/owned-job.ts
@@ -1,18 +1,18 @@
-/** A job in the hands of the cell's owner: its progress, ahead of the store by the changes that aren't written yet. */
+/** A job as the cell's owner holds it in memory: its progress is ahead of the store by the changes that aren't written yet. */
 import type { KnownJob } from '../job/job-view.js';
 import { JobProgress } from '../job/progress.js';
 import type { QueueTerms, Step, Submission } from '../job/submission.js';
 
-/** A step's next runs are kept from a worker where one went wrong for this long, in ms; then any will do. */
+/** The next runs of a step avoid a worker where one went wrong for this long, in ms; after that any worker will do. */
 const AVOID_WORKER_MS = 2500;
 
-/** Names a step of an occurrence. */
+/** A step of one occurrence of a job. */
 export interface StepRef {
   occurrence: number;
   step: number;
 }
 
-/** Changes are numbered; the one numbered `durable` and all before it are in the store. */
+/** Numbers the changes of the job's progress; the last durable one and all before it are in the store. */
 export class OwnedJob {
   readonly id: string;
 
@@ -28,20 +28,20 @@
   /** When each waiting step was first seen ready, by `<occurrence>.<step>`, on the monotonic clock. */
   readonly readySince = new Map<string, number>();
 
-  /** When runs of others were last stopped for it, on the monotonic clock. */
+  /** When runs of other jobs were last preempted for this one, on the monotonic clock. */
   #lastPreemptionAt = -Infinity;
 
   #cancelled: boolean;
 
   #terms: QueueTerms;
 
-  /** Workers where a step's runs went wrong, and when, by `<occurrence>.<step>` and VM. */
+  /** When a run of a step last went wrong on a worker, by `<occurrence>.<step>` and VM. */
   readonly #avoidedWorkers = new Map<string, Map<string, number>>();
 
-  /** How long tasks of each step took that ran from their beginning, in ms: the newest. */
+  /** Duration of the newest task of each step that ran from its beginning, in ms. */
   readonly #lastTaskMs = new Map<Step, number>();
 
-  /** Failure domains in which runs start by changes that aren't durable yet, with the last such change of each. */
+  /** Failure domains in which changes that aren't durable yet start runs, each with the last such change. */
   readonly #pendingStarts = new Map<string, number>();
 
   #lastChange = 0;
@@ -77,12 +77,12 @@
     return this.#cancelled;
   }
 
-  /** Its caller has cancelled it. */
+  /** Its caller has cancelled the job. */
   markCancelled(): void {
     this.#cancelled = true;
   }
 
-  /** Of its queue: as configured now, or as it was when the job was accepted. */
+  /** Terms of its queue: as configured now, or as of the job's acceptance if the queue is no longer configured. */
   get terms(): QueueTerms {
     return this.#terms;
   }
@@ -91,7 +91,7 @@
     this.#terms = terms;
   }
 
-  /** A run of this step went wrong there. */
+  /** Keeps the next runs of this step off a worker where one went wrong. */
   avoidWorker({ occurrence, step }: StepRef, vm: string, now: number): void {
     const key = `${occurrence}.${step}`;
     const vms = this.#avoidedWorkers.get(key) ?? new Map<string, number>();
@@ -99,19 +99,19 @@
     vms.set(vm, now);
   }
 
-  /** Workers that the next runs of this step are kept from. */
+  /** Workers that the next runs of this step avoid. */
   avoidedWorkers({ occurrence, step }: StepRef, now: number): Set<string> {
     const vms = this.#avoidedWorkers.get(`${occurrence}.${step}`) ?? new Map<string, number>();
     const recent = [...vms].filter(([, at]) => now - at < AVOID_WORKER_MS);
     return new Set(recent.map(([vm]) => vm));
   }
 
-  /** A task of this step ran for so long from its beginning to its end. */
+  /** Records the duration of a task of this step that ran from its beginning to its end. */
   noteTaskDuration(step: Step, durationMs: number): void {
     this.#lastTaskMs.set(step, durationMs);
   }
 
-  /** How long a task of this step took; undefined before one has ended. */
+  /** Duration of the newest such task of this step, in ms; undefined before one has ended. */
   lastTaskMs(step: Step): number | undefined {
     return this.#lastTaskMs.get(step);
   }
@@ -124,23 +124,23 @@
     return this.#lastChange > this.#lastDurableChange;
   }
 
-  /** Numbers a change of the progress that was just made. */
+  /** Numbers a change that was just made to the progress. */
   addChange(): number {
     this.#lastChange += 1;
     return this.#lastChange;
   }
 
-  /** A run starts there by this change. */
+  /** A run starts in this failure domain by this change. */
   addPendingStart(failureDomain: string, change: number): void {
     this.#pendingStarts.set(failureDomain, change);
   }
 
-  /** No run starts there any more. */
+  /** No change that isn't durable yet starts a run in this failure domain any more. */
   dropPendingStarts(failureDomain: string): void {
     this.#pendingStarts.delete(failureDomain);
   }
 
-  /** Failure domains in which something starts once all changes so far are durable. */
+  /** Failure domains in which runs start once all changes so far are durable. */
   pendingStartDomains(): string[] {
     return [...this.#pendingStarts.keys()];
   }
@@ -149,7 +149,7 @@
     return change <= this.#lastDurableChange;
   }
 
-  /** The store has this change. */
+  /** The store has all changes up to this one, in this version of the progress row. */
   markWritten(change: number, version: number): void {
     this.#lastDurableChange = Math.max(this.#lastDurableChange, change);
     this.progressVersion = version;
--- a/packages/cell/src/owner/owner-election.ts
+++ b/packages/cell/src/owner/owner-election.ts
@@ -1,6 +1,6 @@
 /**
- * Which entry owns the cell. The row is for safety: every write of the owner names the row's version, so one that was
- * replaced, paused or cut off changes nothing any more. The heartbeat beside it is for liveness only.
+ * Elects the entry that owns the cell. The owner row gives safety: every write of the owner expects the row's version, so an
+ * owner that was replaced, paused or cut off changes nothing any more. The heartbeat row beside it is for liveness only.
  */
 import type { ProcessContext } from '@zincspan/core';
 import type { Row, RowStore, TransactResult, Transaction } from '../store/row-store.js';
@@ -14,83 +14,83 @@
   type OwnerRow,
 } from './owner-row.js';
 
-/** Pause between heartbeats, and between looks at the rows of those that take the cell when its owner is lost, in ms. */
+/** Interval between heartbeats of the owner, and between checks of its rows by the entries that succeed it, in ms. */
 const TICK_INTERVAL_MS = 200;
 
 /**
- * Pause between looks of the others while a link to the owner tells that it lives, in ms: they learn of a new owner within
- * that time, and take the cell only if none of those that should is there.
+ * Interval between checks by other entries while a link shows that the owner is alive, in ms: they learn of a new owner within
+ * that time, and take the cell only if none of its successors is there.
  */
 const LINKED_TICK_INTERVAL_MS = 1000;
 
-/** Each of them gives the one before it this much longer to take a lost or vacant cell, in ms: a look and a write. */
+/** Each successor waits this much longer than the one before it to take a lost or vacant cell, in ms: a check and a write. */
 const TAKEOVER_STAGGER_MS = 250;
 
 /**
- * A heartbeat that hasn't changed for this long, over reads that all succeeded, is a dead owner's, in ms: three of its
- * ticks. Short, as an urgent job of 2.5 s has 1.5 s to spare for everything; taking over from an owner that lives is safe.
+ * An owner whose heartbeat hasn't changed for this long, over reads that all succeeded, counts as dead, in ms: three of its
+ * ticks. Short, as an urgent job of 2.5 s has 1.5 s to spare for everything; taking over from a live owner is safe.
  */
 const HEARTBEAT_TIMEOUT_MS = 700;
 
 /**
- * And this many answers of the store, as long as the slowest took since the heartbeat was seen: one of a slow store comes later, also
- * the last one on its way when the store is fast again.
+ * Added to the time-out: this many times the slowest read since the heartbeat was last seen to change. With a slow store
+ * heartbeats come later, also the last one in flight when the store becomes fast again.
  */
 const TAKEOVER_READ_LATENCIES = 4;
 
 /**
- * Entries that look for the owner's heartbeat at its own pace, so that it is missed at once: with all of 35 doing so, they
- * made 175 reads of the store a second. Three, since two may be lost with the owner's failure domain.
+ * Number of entries that check the owner's heartbeat as often as it is sent, so that a loss is noticed at once: all of 35 doing
+ * so made 175 reads of the store a second. Three, since two may be lost with the owner's failure domain.
  */
 export const SUCCESSOR_COUNT = 3;
 
-/** One call to the store may take this long, in ms: several times a slow store's answer. */
+/** Time-out of a call to the store, in ms: several times the response time of a slow store. */
 const STORE_TIMEOUT_MS = 1200;
 
-/** Told when this entry becomes the owner, and when it no longer is. */
+/** Called when this entry becomes the owner, when it no longer is, and when the owner was read. */
 export interface OwnerElectionEvents {
   onGained: (term: number, ownerVersion: number) => void;
   onLost: (reason: string) => void;
-  /** Who owns the cell was seen; undefined if nobody does. */
+  /** The current owner was read from the store; undefined if there is none. */
   onHolder: (holder: Holder | undefined) => void;
 }
 
-/** What ownership is looked after by. */
+/** Dependencies of the election. */
 export interface OwnerElectionOptions {
   ctx: ProcessContext;
   store: RowStore;
   self: Holder;
   events: OwnerElectionEvents;
-  /** How many entries take the cell before this one; undefined if it isn't one of those that look out for its loss. */
+  /** Number of successors that take the cell before this entry; undefined if this entry isn't a successor. */
   rank: () => number | undefined;
-  /** Whether this entry has been there long enough to know who else is. */
+  /** Whether this entry has been up long enough to know the other entries. */
   knowsPeers: () => boolean;
-  /** Whether there is a link to the owner. */
+  /** Whether this entry has a link to the owner. */
   hasOwnerLink: () => boolean;
 }
 
 interface HeldOwnership {
   term: number;
-  /** Version of the owner's row, which all writes expect. */
+  /** Version of the owner row, which all writes of the owner expect. */
   version: number;
-  /** When the last write or read that confirmed it was sent, on the monotonic clock. */
+  /** When the last call that confirmed the ownership was sent, on the monotonic clock. */
   confirmedAt: number;
-  /** When the last heartbeat was sent by itself, or with a write that was done. */
+  /** When the last heartbeat was sent by itself, or with a write that succeeded. */
   heartbeatSentAt: number;
-  /** What the last heartbeat that was done took, in ms. */
+  /** Duration of the last heartbeat that succeeded, in ms. */
   heartbeatLatencyMs: number;
-  /** Heartbeats without an answer so far. */
+  /** Number of heartbeats that have no answer yet. */
   heartbeatsInFlight: number;
 }
 
 /**
- * While a heartbeat is on its way the next one waits for this many durations of the last one, if that is longer than a tick: where
- * transactions take their turns, those of a slow store would leave no turn to anything else. Others wait for as many answers
- * before they take the cell.
+ * While a heartbeat is in flight, the next one waits for this many durations of the last one, if that is longer than a tick: where
+ * transactions run one after another, heartbeats in a slow store would leave no turn to other writes. Other entries wait for at
+ * least as many answers before they take the cell.
  */
 const HEARTBEAT_SPACING_FACTOR = 2;
 
-/** Takes the cell when nobody lives who owns it, and keeps it. */
+/** Takes the cell when it has no live owner, and keeps it until it is lost or released. */
 export class OwnerElection {
   readonly #options: OwnerElectionOptions;
 
@@ -98,10 +98,10 @@
 
   #heartbeatCount = 0;
 
-  /** Since when the cell was seen to be nobody's, on the monotonic clock. */
+  /** Since when the cell was seen without an owner, on the monotonic clock. */
   #vacantSince: number | undefined;
 
-  /** The owner's heartbeat as last seen, and since when it hasn't changed. */
+  /** The owner's heartbeat as last read, and since when it hasn't changed. */
   #observed:
     | { heartbeatVersion: number; ownerVersion: number; since: number; slowestReadMs: number }
     | undefined;
@@ -122,7 +122,7 @@
     void this.#tick();
   }
 
-  /** Hands the cell over, if this entry owns it: another takes it at its next look. */
+  /** Releases the cell if this entry owns it: another entry takes it at its next check. */
   async stop(): Promise<void> {
     this.#stopping = true;
     clearTimeout(this.#timer);
@@ -136,13 +136,10 @@
       },
       { timeoutMs: STORE_TIMEOUT_MS },
     );
-    this.#options.ctx.log.info(
-      { term: held.term, outcome: result.outcome },
-      'ownership handed over',
-    );
+    this.#options.ctx.log.info({ term: held.term, outcome: result.outcome }, 'ownership released');
   }
 
-  /** The owner's row was seen changed by others. */
+  /** Ends this entry's ownership: for a planned stop, or because the store shows that it is lost. */
   endOwnership(reason: string): void {
     if (this.#held === undefined) return;
     this.#options.ctx.metrics.count('owner.lost');
@@ -152,7 +149,7 @@
     this.#options.events.onLost(reason);
   }
 
-  /** Sends a write that names the owner's row. It carries a heartbeat along: a slow store has few turns to give. */
+  /** Sends a write that expects the owner row, with a heartbeat in it: a slow store runs few transactions. */
   async transact(tx: Transaction, options: { timeoutMs: number }): Promise<TransactResult> {
     const held = this.#held;
     const sentAt = this.#now();
@@ -190,7 +187,7 @@
       else if (this.#isHeartbeatDue(this.#held)) this.#sendHeartbeat(this.#held);
     } catch (err) {
       this.#options.ctx.metrics.count('owner.tick-failed');
-      this.#options.ctx.log.error({ err }, 'looking after the ownership failed');
+      this.#options.ctx.log.error({ err }, 'owner check or heartbeat failed');
     }
     if (this.#stopping) return;
     this.#timer = setTimeout(() => {
@@ -210,18 +207,18 @@
     heartbeatsInFlight,
   }: HeldOwnership): boolean {
     const spacingMs = heartbeatsInFlight > 0 ? HEARTBEAT_SPACING_FACTOR * heartbeatLatencyMs : 0;
-    // A timer may fire a little early.
+    // Timers may fire slightly early.
     return this.#now() - heartbeatSentAt >= Math.max(TICK_INTERVAL_MS / 2, spacingMs);
   }
 
   /**
-   * Not awaited: the next one goes out in time although the answer to this one is lost, which takes a whole call's time to
-   * show. Otherwise a store that loses answers made the cell change hands about once a second.
+   * Not awaited, so that the next heartbeat is sent in time although the answer to this one is lost, which shows only at the
+   * call's time-out. When it was awaited, a store that lost answers made the cell change its owner about once a second.
    */
   #sendHeartbeat(held: HeldOwnership): void {
     this.#writeHeartbeat(held).catch((err: unknown) => {
       this.#options.ctx.metrics.count('owner.beat-failed');
-      this.#options.ctx.log.error({ err }, 'a heartbeat of the owner failed');
+      this.#options.ctx.log.error({ err }, 'owner heartbeat failed');
     });
   }
 
@@ -230,7 +227,7 @@
     const expected = [{ ...OWNER_ROW_KEY, version: held.version }];
     const result = await this.transact({ expected, set: [] }, { timeoutMs: STORE_TIMEOUT_MS });
     if (this.#held !== held || result.outcome === 'done') return;
-    if (result.outcome === 'conflict') this.endOwnership('another entry took it');
+    if (result.outcome === 'conflict') this.endOwnership('another entry took the cell');
     else this.#options.ctx.metrics.count('owner.beat-failed');
   }
 
@@ -246,7 +243,7 @@
       { timeoutMs: STORE_TIMEOUT_MS },
     );
     if (result.outcome === 'failed') {
-      // Nothing was seen meanwhile: an owner that couldn't write either mustn't be taken for dead.
+      // Nothing was read meanwhile: an owner that couldn't write either mustn't be taken for dead.
       this.#observed = undefined;
       this.#vacantSince = undefined;
       return;
@@ -282,7 +279,7 @@
       return now - this.#vacantSince >= staggerMs;
     }
     this.#vacantSince = undefined;
-    // A holder on this VM is an earlier life of this process.
+    // A holder with this VM's id is an earlier incarnation of this process.
     if (holder.id === this.#options.self.id) return true;
     const observed = this.#observed;
     if (
@@ -310,7 +307,7 @@
       { timeoutMs: STORE_TIMEOUT_MS },
     );
     if (result.outcome !== 'done' || this.#stopping) {
-      // If it was done all the same, the next look finds this process as holder and takes the next term.
+      // If the write succeeded all the same, the next check finds this process as holder and takes the next term.
       this.#options.ctx.metrics.count(`owner.take-${result.outcome}`);
       return;
     }
--- a/packages/cell/src/owner/owner-row.ts
+++ b/packages/cell/src/owner/owner-row.ts
@@ -1,26 +1,26 @@
-/** Rows by which one entry owns a cell: who owns it, and a heartbeat beside it. */
+/** Rows about the cell itself: its owner, the owner's heartbeat, and the key of links. */
 import { Packr } from 'msgpackr';
 import * as z from 'zod';
 import { addressSchema, incarnationSchema } from '@zincspan/core';
 import type { RowKey } from '../store/row-store.js';
 
-/** Table of a cell's own rows. */
+/** Table of the rows about the cell itself. */
 export const CELL_TABLE = 'cell';
 
-/** Who owns the cell. Changes only when ownership does, so that all writes can name its version. */
+/** The cell's owner. Changes only with the ownership, so that all writes of the owner can expect its version. */
 export const OWNER_ROW_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner' };
 
-/** Changed by the owner again and again: for liveness only. */
+/** Heartbeat that the owner keeps rewriting: for liveness only. */
 export const OWNER_HEARTBEAT_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'owner-beat' };
 
-/** The key that links between our processes prove themselves by. */
+/** Shared key by which the cell's processes authenticate links between them. */
 export const LINK_KEY_ROW_KEY: RowKey = { table: CELL_TABLE, part: '', key: 'link-key' };
 
-/** An entry as owner. */
+/** The entry that owns the cell. */
 export const holderSchema = z.strictObject({
   id: z.string(),
   incarnation: incarnationSchema,
-  /** Where guards reach it. */
+  /** Address at which guards reach it. */
   address: addressSchema,
 });
 export type Holder = z.infer<typeof holderSchema>;
@@ -38,7 +38,7 @@
   return packr.pack(row);
 }
 
-/** Throws if the row isn't as agreed. */
+/** Throws if the value doesn't match the schema. */
 export function unpackOwnerRow(value: Buffer): OwnerRow {
   return ownerRowSchema.parse(packr.unpack(value));
 }
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes progress ahead of its effects. Changes of many jobs go into one transaction, on condition that the owner's row
- * is unchanged, that nobody else has changed the progress, and that the jobs weren't cancelled meanwhile.
+ * Writes the progress of jobs to the store before it takes effect. Changes of many jobs go into one transaction, on condition
+ * that the owner row is unchanged, that nobody else has changed the progress, and that the jobs weren't cancelled meanwhile.
  */
 import type { AcceptanceCall, AcceptanceResult, ProcessContext } from '@zincspan/core';
 import type { Evacuations } from '../evacuation/evacuations.js';
@@ -18,41 +18,41 @@
 import { pause } from '../clock/pause.js';
 
 /**
- * Jobs in one transaction: four entries each at most, beside the owner's row, its heartbeat and eighteen failure domains; the
- * store takes 100.
+ * Maximum number of jobs in one transaction: up to four entries each, besides the owner row, its heartbeat and eighteen failure
+ * domains; the store takes 100 entries.
  */
 const MAX_JOBS_PER_WRITE = 20;
 
-/** And beside submissions: ten of those take 21 entries. */
+/** The same in a transaction that also accepts submissions: ten of those take 21 entries. */
 const MAX_JOBS_WITH_ACCEPTANCES = 14;
 
-/** One write may take this long, in ms: several times a slow store's answer. */
+/** Time-out of a write, in ms: several times the response time of a slow store. */
 const WRITE_TIMEOUT_MS = 1500;
 
-/** Pause after a write that failed, in ms. */
+/** Delay after a failed write, in ms. */
 const RETRY_DELAY_MS = 100;
 
-/** What the writer's user is told. */
+/** Called on the results of writes. */
 export interface ProgressWriterEvents {
-  /** These jobs' changes so far are in the store. */
+  /** Changes of these jobs were written. */
   onDurable: (jobs: readonly OwnedJob[]) => void;
-  /** Rows of jobs that were accepted by a write: what starts of them may go with the next one. */
+  /** Rows of jobs that a write has accepted: starts of them may go into the next one. */
   onAccepted: (rows: readonly Row[]) => void;
   /** A job was cancelled before its change was written. */
   onCancelled: (job: OwnedJob) => void;
-  /** These failure domains were expected not to be evacuated; the rows that are there say what is so. */
+  /** A write that expected these failure domains not to be evacuated met a conflict; `rows` are the current ones. */
   onEvacuationConflict: (
     failureDomains: readonly string[],
     rows: readonly Row[],
     at: number,
   ) => void;
-  /** A job's rows are gone: it was over, and was removed. */
+  /** The job had ended, and its rows were removed from the store. */
   onRemoved: (job: OwnedJob) => void;
-  /** Another entry owns the cell, or the books of this term aren't what the store holds. */
+  /** Another entry owns the cell, or the state in memory doesn't match the store. */
   onOwnershipLost: (reason: string) => void;
 }
 
-/** Sends a write that names the owner's row. */
+/** Sends a write that expects the version of the owner row. */
 export type FencedTransact = RowStore['transact'];
 
 interface PendingProgress {
@@ -61,15 +61,15 @@
   value: Buffer;
 }
 
-/** One write: progress of some jobs, the failure domains in which something starts by it, and submissions that go along. */
+/** One write: progress of some jobs, the failure domains in which it starts runs, and submissions that it accepts. */
 interface WriteBatch {
   jobs: readonly PendingProgress[];
-  pendingStartDomains: readonly string[];
+  startDomains: readonly string[];
   acceptances: readonly HandedAcceptance[];
   sentAt: number;
 }
 
-/** One writer for one term. */
+/** The only writer of progress during one term. */
 export class ProgressWriter {
   readonly #ctx: ProcessContext;
 
@@ -87,7 +87,7 @@
 
   readonly #dirtyJobs = new Set<OwnedJob>();
 
-  /** Values of writes without an answer: any of them may be in the store. */
+  /** Values of writes that got no answer: any of them may be in the store. */
   readonly #unansweredWrites = new Map<OwnedJob, Buffer[]>();
 
   #writing = false;
@@ -106,7 +106,7 @@
     transact: FencedTransact;
     ownerVersion: number;
     evacuations: Evacuations;
-    /** Where the operator's configuration stands. */
+    /** Row of the operator's configuration. */
     configKey: RowKey;
     events: ProgressWriterEvents;
   }) {
@@ -119,13 +119,13 @@
     this.#events = events;
   }
 
-  /** The job has changes to write. */
+  /** Schedules a write of the job's changes. */
   markDirty(job: OwnedJob): void {
     this.#dirtyJobs.add(job);
     this.#scheduleWrite();
   }
 
-  /** Accepts a job with the next write. */
+  /** Accepts a job in the next write. */
   accept(call: AcceptanceCall): Promise<AcceptanceResult> {
     const result = this.#acceptances.add(call);
     this.#scheduleWrite();
@@ -144,7 +144,7 @@
   #scheduleWrite(): void {
     if (this.#writing || !this.#hasWork) return;
     this.#writing = true;
-    // Changes of the same turn go together.
+    // Changes of the same turn of the event loop share a write.
     setImmediate(() => {
       void this.#writeAll();
     });
@@ -155,7 +155,7 @@
       while (this.#hasWork) await this.#writeBatch();
     } catch (err) {
       this.#ctx.metrics.count('progress.write-failed');
-      this.#ctx.log.error({ err }, 'writing progress failed');
+      this.#ctx.log.error({ err }, 'could not write the progress of jobs');
     } finally {
       this.#writing = false;
     }
@@ -164,7 +164,7 @@
 
   async #writeBatch(): Promise<void> {
     const batch = this.#nextBatch();
-    const { jobs, pendingStartDomains, acceptances, sentAt } = batch;
+    const { jobs, startDomains, acceptances, sentAt } = batch;
     if (jobs.length === 0 && acceptances.length === 0) return;
     const result = await this.#transact(this.#buildTransaction(batch), {
       timeoutMs: WRITE_TIMEOUT_MS,
@@ -173,7 +173,7 @@
     if (this.#stopped) return;
     this.#ctx.metrics.timing('progress.write', this.#ctx.clock.now() - sentAt);
     if (result.outcome === 'done') {
-      this.#evacuations.noteConfirmed(pendingStartDomains, sentAt);
+      this.#evacuations.noteConfirmed(startDomains, sentAt);
       this.#markWritten(jobs, () => result.version);
       this.#reportAccepted(acceptances, result.version);
     } else if (result.outcome === 'conflict') {
@@ -187,11 +187,11 @@
 
   #nextBatch(): WriteBatch {
     const acceptances = this.#acceptances.take();
-    const mostJobs = acceptances.length > 0 ? MAX_JOBS_WITH_ACCEPTANCES : MAX_JOBS_PER_WRITE;
-    const jobs = [...this.#dirtyJobs].slice(0, mostJobs);
+    const maxJobs = acceptances.length > 0 ? MAX_JOBS_WITH_ACCEPTANCES : MAX_JOBS_PER_WRITE;
+    const jobs = [...this.#dirtyJobs].slice(0, maxJobs);
     return {
       jobs: jobs.map((job) => ({ job, change: job.lastChange, value: packProgress(job.progress) })),
-      pendingStartDomains: [...new Set(jobs.flatMap((job) => job.pendingStartDomains()))],
+      startDomains: [...new Set(jobs.flatMap((job) => job.pendingStartDomains()))],
       acceptances,
       sentAt: this.#ctx.clock.now(),
     };
@@ -205,10 +205,10 @@
     });
   }
 
-  #buildTransaction({ jobs, pendingStartDomains, acceptances }: WriteBatch): Transaction {
+  #buildTransaction({ jobs, startDomains, acceptances }: WriteBatch): Transaction {
     const expected = jobs.flatMap(({ job }) => [
       { ...jobRowKey(job.id, 'progress'), version: job.progressVersion },
-      // A job whose rows were removed is over, whatever a feed that is behind tells of it.
+      // A job whose rows were removed has ended, even if a lagging feed still delivers it.
       ...(job.progressVersion > 0
         ? []
         : [{ ...jobRowKey(job.id, 'submission'), version: job.submissionVersion }]),
@@ -217,7 +217,7 @@
     return {
       expected: [
         { ...OWNER_ROW_KEY, version: this.#ownerVersion },
-        ...pendingStartDomains.map((failureDomain) => this.#evacuations.expectedRow(failureDomain)),
+        ...startDomains.map((failureDomain) => this.#evacuations.expectedRow(failureDomain)),
         ...expected,
         ...this.#acceptancePreconditions(acceptances),
       ],
@@ -233,7 +233,7 @@
     this.#events.onAccepted(acceptances.map(({ key, value }) => ({ ...key, value, version })));
   }
 
-  /** As for one that an entry writes itself: the configuration that let it through, and no job of this id. */
+  /** As where an entry writes a submission itself: the configuration that let it through, and no job with its id. */
   #acceptancePreconditions([
     first,
     ...others
@@ -253,18 +253,18 @@
   }
 
   /**
-   * Nobody but the owner writes progress: a row with another version holds an earlier write of our own whose answer was
-   * lost, and the next write starts from there. If it holds anything else, the books are wrong and are read anew.
+   * Only the owner writes progress, so a row with another version holds an earlier write of this owner whose answer was lost,
+   * and the next write starts from it. If it holds anything else, the state in memory is wrong: the term ends, and the jobs
+   * are read again.
    */
-  #resolveConflict({ jobs, pendingStartDomains, sentAt }: WriteBatch, rows: readonly Row[]): void {
+  #resolveConflict({ jobs, startDomains, sentAt }: WriteBatch, rows: readonly Row[]): void {
     const owner = rows.find((row) => sameRow(row, OWNER_ROW_KEY));
     if (owner?.version !== this.#ownerVersion) {
-      this.#endOwnership('a write found another owner');
+      this.#endOwnership('a write found that another entry owns the cell');
       return;
     }
     this.#ctx.metrics.count('progress.conflict');
-    if (pendingStartDomains.length > 0)
-      this.#events.onEvacuationConflict(pendingStartDomains, rows, sentAt);
+    if (startDomains.length > 0) this.#events.onEvacuationConflict(startDomains, rows, sentAt);
     const written: PendingProgress[] = [];
     for (const pending of jobs) {
       const { job, value } = pending;
@@ -273,7 +273,7 @@
       const row = rowOf('progress');
       if (row !== undefined && row.version !== job.progressVersion) {
         if (!this.#unansweredWrites.get(job)?.some((own) => own.equals(row.value))) {
-          this.#endOwnership(`progress of job ${job.id} is not what this owner wrote`);
+          this.#endOwnership(`stored progress of job ${job.id} differs from what this owner wrote`);
           return;
         }
         job.progressVersion = row.version;
--- a/packages/cell/src/owner/returning-runners.steps.ts
+++ b/packages/cell/src/owner/returning-runners.steps.ts
@@ -40,7 +40,7 @@
   const life = worker.lives.at(-1);
   const knows = (): boolean =>
     cellOf(world)
-      .logged('runner known')
+      .logged('new runner life reported')
       .some(
         ({ vm, runner }) => vm === worker.id && life !== undefined && runner === lifeName(life),
       );
@@ -276,7 +276,7 @@
 );
 
 Then('no end was skipped', function (this: CellTestContext) {
-  assert.deepEqual(cellOf(this).logged('end skipped'), []);
+  assert.deepEqual(cellOf(this).logged('skipped the end of a run that is still assigned'), []);
 });
 
 Then('each task was started once', function (this: CellTestContext) {
--- a/packages/cell/src/owner/run-registry.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -1,4 +1,4 @@
-/** The owner's books of one term: jobs, workers, and every run that may exist. All changes of progress pass through it. */
+/** The owner's in-memory state of one term: jobs, workers, and every run that may exist. All changes of progress go through it. */
 import type { ProcessContext } from '@zincspan/core';
 import type { AdviceBook } from '../advice/advice-book.js';
 import { isSuspect } from '../job/crash-record.js';
@@ -15,27 +15,27 @@
 import { StartOrders } from './start-orders.js';
 import { durationsOf, roomDemand } from './standings.js';
 
-/** Checkpoints are written this often, in ms: a power failure of all machines costs what came since. */
+/** Interval between writes of checkpoints to the store, in ms: a power failure of all machines loses the work since. */
 const CHECKPOINT_WRITE_INTERVAL_MS = 1500;
 
-/** What the book's user does about a change. */
+/** Called on changes of the registry. */
 export interface RunRegistryEvents {
-  /** Progress changed and has to be written. */
+  /** The job's progress has changed and has to be written. */
   onProgressChanged: (job: OwnedJob) => void;
-  /** The guard of this VM should hear of it at once. */
+  /** The guard on this VM should fetch its orders at once. */
   onOrdersChanged: (vm: string) => void;
 }
 
-/** Jobs and runs of one term. */
+/** Jobs, workers and runs of one term. */
 export class RunRegistry {
   readonly jobs = new Map<string, OwnedJob>();
 
-  /** Jobs that this term has ended and forgotten, until their rows are removed. */
+  /** Jobs that ended in this term and are no longer in `jobs`, until their rows are removed. */
   readonly endedJobs = new Set<string>();
 
   readonly fleet: Fleet;
 
-  /** What guards may be told to start. */
+  /** Decides which starts guards may be ordered. */
   readonly orders: StartOrders;
 
   readonly #ctx: ProcessContext;
@@ -77,7 +77,7 @@
     this.#stopper = new RunStopper({
       fleet,
       onStop: ({ name, run }, vm, reason) => {
-        this.log('run to be stopped', { task: name, run, reason });
+        this.log('stopping run', { task: name, run, reason });
         events.onOrdersChanged(vm);
       },
     });
@@ -87,7 +87,7 @@
     return this.#ctx.clock.now();
   }
 
-  /** Counts something that has come to pass. */
+  /** Increments a counter of the metrics. */
   count(name: string): void {
     this.#ctx.metrics.count(name);
   }
@@ -96,7 +96,7 @@
     this.#ctx.log.info(fields, msg);
   }
 
-  /** Takes a job in, with the runs that an earlier owner wrote down. */
+  /** Adds a job, with the active runs that an earlier owner has written. */
   addJob(job: OwnedJob): void {
     this.jobs.set(job.id, job);
     job.progress
@@ -112,11 +112,11 @@
     });
   }
 
-  /** Writes runs down for what a pass has placed. */
+  /** Creates and assigns runs for the tasks that a pass has placed. */
   startRuns({ wanted, placed }: Start): void {
     const { job, group } = wanted;
     const { occurrence, step } = group;
-    // Single tasks have run numbers of their own.
+    // Tasks outside a gang have a run number each.
     const sets = group.gang ? [placed] : placed.map((each) => [each]);
     sets.forEach((set) => {
       const runs = set.map(({ index, vm }) => ({
@@ -142,13 +142,13 @@
     });
   }
 
-  /** Notes a run's end; answers the number of the change, undefined if it changed nothing. */
+  /** Records a run's end. Returns the number of the job's change that contains it; undefined if the job isn't known. */
   endRun(jobId: string, end: RunEnd): number | undefined {
     const job = this.jobs.get(jobId);
     if (job === undefined) return undefined;
     const { maxAttempts } = job.terms;
     if (!job.progress.endRun(end, { maxAttempts })) {
-      // It was taken up before, perhaps by a change that isn't durable yet.
+      // It was recorded before, perhaps by a change that isn't durable yet.
       return job.lastChange;
     }
     const change = this.#recordChange(job);
@@ -165,7 +165,7 @@
     return change;
   }
 
-  /** Counts a runner's crash against one run's task. False if that says nothing new. */
+  /** Counts a runner's crash against one run's task. False if that changes nothing. */
   recordCrash(job: OwnedJob, crash: RunCrash): boolean {
     if (!job.progress.noteCrash(crash)) return false;
     this.#recordChange(job);
@@ -177,18 +177,18 @@
     return true;
   }
 
-  /** The step that a run is of; undefined for one that isn't known. */
+  /** Step of a run; undefined if the run or its job isn't known. */
   stepOf(assignment: Assignment | undefined): Step | undefined {
     if (assignment === undefined) return undefined;
     return this.jobs.get(assignment.jobId)?.submission.steps[assignment.ref.step];
   }
 
-  /** How long a task of this step is expected to take, in ms. */
+  /** Expected duration of a task of this step, in ms. */
   expectedTaskMs(job: OwnedJob, step: Step): number {
     return durationsOf(job, this.#durations)(step);
   }
 
-  /** What a run's end says of its worker. */
+  /** Updates the worker's health and the expected durations by a run's end. */
   recordRunHealth(worker: Worker, assignment: Assignment, how: RunEnd['how']): void {
     const { name, jobId, ref } = assignment;
     const job = this.jobs.get(jobId);
@@ -198,17 +198,17 @@
     }
     if (how !== 'failed') return;
     job?.avoidWorker(ref, worker.vm, this.now());
-    this.recordFault(worker, name, 'a run failed');
+    this.recordFault(worker, name, 'run failed');
   }
 
-  /** Something went wrong on a worker that may be its fault. */
+  /** Records a fault that the worker may have caused. */
   recordFault(worker: Worker, task: string, what: string): void {
     if (!this.#health.noteFault(worker.health, task, this.now())) return;
     this.#ctx.metrics.count('worker.closed');
-    this.log('worker closed', { vm: worker.vm, what, task });
+    this.log('worker closed to new runs', { vm: worker.vm, what, task });
   }
 
-  /** Writes checkpoints down that were heard of, so that they outlast this owner and the runners. */
+  /** Has checkpoints that guards reported written, so that they survive this owner and the runners. */
   persistCheckpoints(): void {
     if (this.now() - this.#checkpointsWrittenAt < CHECKPOINT_WRITE_INTERVAL_MS) return;
     this.#checkpointsWrittenAt = this.now();
@@ -220,12 +220,12 @@
     );
   }
 
-  /** A run that surely doesn't run any more, or never did, although no end of it was listed. */
+  /** Ends a run as lost that certainly isn't running any more, or never was, although no end of it was reported. */
   markLost(worker: Worker, assignment: Assignment, reason: string): void {
     worker.assignments.delete(assignment.name);
     const { jobId, ref, run, checkpoint } = assignment;
     this.#ctx.metrics.count('run.lost');
-    this.log('run given up', {
+    this.log('run lost', {
       task: assignment.name,
       run,
       vm: worker.vm,
@@ -235,7 +235,7 @@
     this.endRun(jobId, { ref, run, how: 'lost', checkpoint });
   }
 
-  /** Loses all runs on workers whose leases have surely ended. */
+  /** Ends all runs as lost on workers whose leases have certainly expired. */
   markUnreachableLost(): void {
     this.fleet.lost().forEach((worker) => {
       const silentMs = Math.round(this.now() - worker.contactAt);
@@ -245,7 +245,7 @@
     });
   }
 
-  /** The job was cancelled by its caller. */
+  /** Cancels a job for its caller. */
   cancelJob(job: OwnedJob): void {
     job.markCancelled();
     if (!job.progress.cancel()) return;
@@ -254,18 +254,18 @@
     this.#stopper.stopAll(job, 'cancelled');
   }
 
-  /** Asks for the end of a run, and of the rest of its gang. */
+  /** Requests the stop of a run, and of the rest of its gang. */
   stopRun(assignment: Assignment, reason: string): void {
     const job = this.jobs.get(assignment.jobId);
     if (job !== undefined) this.#stopper.stop(job, assignment, reason);
   }
 
-  /** All that was given out of this job and isn't known to be over. */
+  /** Runs of this job that were assigned and aren't known to have ended. */
   assignmentsOf(jobId: string): Assignment[] {
     return this.#stopper.assignmentsOf(jobId);
   }
 
-  /** Highest end that may be confirmed to the runner. */
+  /** Highest number of an end that may be confirmed to the runner. */
   confirmEnds(worker: Worker): number {
     return worker.confirmEnds(({ jobId, change }) => {
       const job = this.jobs.get(jobId);
@@ -273,7 +273,7 @@
     });
   }
 
-  /** Forgets jobs that are over and written, and of which nothing is left on a worker. */
+  /** Drops jobs that have ended and are written, and that have no run left on a worker. */
   dropEndedJobs(): void {
     const busy = new Set<string>();
     [...this.fleet.all()].forEach(({ assignments }) =>
@@ -323,7 +323,7 @@
     });
   }
 
-  /** How long ago a run was assigned and first listed, in ms, and how far it had come. */
+  /** How long ago a run was assigned and first reported running, in ms, and how much of it was done. */
   #describeTiming({ assignedAt, runningAt, percent }: Assignment): object {
     const assignedMs = Math.round(this.now() - assignedAt);
     if (runningAt === undefined) return { assignedMs };
