--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -83,7 +83,7 @@
     const waiting = new WaitingCount({
       ctx,
       store,
-      ownCount: (queue) => this.#owner?.countWaiting(queue),
+      ownCount: (queue) => this.#owner?.waitingJobs(queue),
       ownerLink: () => this.#peers.ownerLink,
     });
     this.calls = new JobCalls({
@@ -219,7 +219,7 @@
       },
       'caller.forward': (req) => this.calls.serveForwarded(req),
       'cell.waiting': ({ queue }) => {
-        const count = this.#owner?.countWaiting(queue);
+        const count = this.#owner?.waitingJobs(queue);
         if (count === undefined) throw notOwnerError();
         return { count };
       },
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -235,7 +235,7 @@
   }
 
   /** Number of waiting jobs of a queue; undefined until the jobs are loaded. */
-  countWaiting(queue: string): number | undefined {
+  waitingJobs(queue: string): number | undefined {
     return this.#loaded && !this.#stopped ? this.#jobView.waiting(queue) : undefined;
   }
 
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -35,7 +35,7 @@
 /** Applies one contact. True if runs may have to start or stop because of it; most contacts report progress only. */
 export function applyContact(registry: RunRegistry, worker: Worker, contact: CellContact): boolean {
   const earlier = worker.runner;
-  const wasThere = registry.fleet.isPlaceable(worker);
+  const wasPlaceable = registry.fleet.isPlaceable(worker);
   const earlierLife = earlier?.id;
   const runsBefore = worker.assignments.size;
   worker.noteContact(registry.now(), contact.runner);
@@ -64,13 +64,13 @@
   markImpossibleRunsLost(registry, worker, contact);
   adjustPace(registry, worker, contact);
   const { runner, ends, refused } = contact;
-  const isOther = !isSameRunner(runner, earlier);
+  const factsChanged = !hasSameFacts(runner, earlier);
   const hasChanged = worker.assignments.size !== runsBefore;
-  return ends.length > 0 || refused.length > 0 || hasChanged || isOther || !wasThere;
+  return ends.length > 0 || refused.length > 0 || hasChanged || factsChanged || !wasPlaceable;
 }
 
 /** False if the runner's facts changed in a way that affects what may start there. */
-function isSameRunner(a: RunnerFacts | undefined, b: RunnerFacts | undefined): boolean {
+function hasSameFacts(a: RunnerFacts | undefined, b: RunnerFacts | undefined): boolean {
   if (a === undefined || b === undefined) return a === b;
   return a.id === b.id && a.draining === b.draining && isSameDemand(a.capacity, b.capacity);
 }
@@ -102,24 +102,24 @@
     [...contact.running, ...contact.inProgress, ...contact.ends, ...contact.refused].map(runKey),
   );
   const runner = worker.runner?.id ?? '';
-  const here = [...worker.assignments.values()].filter(
+  const assignedHere = [...worker.assignments.values()].filter(
     (assignment) => assignment.runner === runner,
   );
-  const unstarted = here.filter((assignment) => !known.has(runKey(toRunName(assignment))));
+  const unreported = assignedHere.filter((assignment) => !known.has(runKey(toRunName(assignment))));
   // Stopped, and placed again once the runner has barred it.
-  unstarted
+  unreported
     .filter((assignment) => registry.orders.lacksTicket(assignment))
     .forEach((assignment) => registry.stopRun(assignment, 'ticket expired'));
-  const listed = [...contact.running, ...contact.inProgress].filter(
+  const runsToStop = [...contact.running, ...contact.inProgress].filter(
     (run) => !registry.orders.mayGoOn(assignmentOf(worker, run)),
   );
-  const wanted = unstarted.filter((assignment) => registry.orders.isWanted(assignment));
+  const wanted = unreported.filter((assignment) => registry.orders.isWanted(assignment));
   const ordered = wanted.filter((assignment) => registry.orders.mayOrder(assignment, worker));
   const starts = ordered.map((assignment): StartOrder => registry.orders.orderFor(assignment));
   // Neither reported nor to be started: a stop bars the run there, so that no late call starts it. Also runs of jobs that have
   // ended, since nothing else asks what became of them: a gang member whose step others completed would keep its room for good.
-  const barred = unstarted.filter((each) => !wanted.includes(each)).map(toRunName);
-  const stops = [...listed, ...barred].map(({ task, run }) => ({ task, run }));
+  const barred = unreported.filter((each) => !wanted.includes(each)).map(toRunName);
+  const stops = [...runsToStop, ...barred].map(({ task, run }) => ({ task, run }));
   // Neither reported nor ordered to start or stop.
   noteUnaccounted(
     registry,
@@ -152,7 +152,7 @@
   const change =
     parsed === undefined
       ? undefined
-      : registry.endRun(parsed.jobId, {
+      : registry.recordEnd(parsed.jobId, {
           ref: parsed.ref,
           run: end.run,
           how: end.how,
@@ -204,10 +204,10 @@
   const isOther = contact.runner !== undefined && contact.runner.id !== earlier?.id;
   if (earlier === undefined || !isOther || earlier.draining) return;
   if (contact.crash?.runner === earlier.id) return;
-  const begun = [...worker.assignments.values()].filter(
+  const startedRuns = [...worker.assignments.values()].filter(
     ({ runner, runningAt }) => runner === earlier.id && runningAt !== undefined,
   );
-  begun.forEach((assignment) => recordUnreportedCrash(registry, worker, assignment));
+  startedRuns.forEach((assignment) => recordUnreportedCrash(registry, worker, assignment));
 }
 
 /**
@@ -217,12 +217,12 @@
 function markImpossibleRunsLost(registry: RunRegistry, worker: Worker, contact: CellContact): void {
   const { runner, running, inProgress } = contact;
   if (runner === undefined) return;
-  const isTold = (assignment: Assignment): boolean =>
+  const isReported = (assignment: Assignment): boolean =>
     [...running, ...inProgress].some((run) => assignmentOf(worker, run) === assignment);
   [...worker.assignments.values()].forEach((assignment) => {
     // Nearly always all runs are of the present life, and nothing has to be searched.
-    const isOver = assignment.runner !== runner.id && !isTold(assignment);
-    if (isOver) registry.markLost(worker, assignment, 'runner replaced');
+    const isOfEarlierLife = assignment.runner !== runner.id && !isReported(assignment);
+    if (isOfEarlierLife) registry.markLost(worker, assignment, 'runner replaced');
     else if (runner.leaseLapsed) registry.markLost(worker, assignment, 'lease lapsed');
   });
 }
--- a/packages/cell/src/owner/run-registry.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -113,7 +113,7 @@
   }
 
   /** Creates and assigns runs for the tasks that a pass has placed. */
-  startRuns({ wanted, placed }: Start): void {
+  assignRuns({ wanted, placed }: Start): void {
     const { job, group } = wanted;
     const { occurrence, step } = group;
     // Tasks outside a gang have a run number each.
@@ -143,7 +143,7 @@
   }
 
   /** Records a run's end. Returns the number of the job's change that contains it; undefined if the job isn't known. */
-  endRun(jobId: string, end: RunEnd): number | undefined {
+  recordEnd(jobId: string, end: RunEnd): number | undefined {
     const job = this.jobs.get(jobId);
     if (job === undefined) return undefined;
     const { maxAttempts } = job.terms;
@@ -232,7 +232,7 @@
       reason,
       ...this.#describeTiming(assignment),
     });
-    this.endRun(jobId, { ref, run, how: 'lost', checkpoint });
+    this.recordEnd(jobId, { ref, run, how: 'lost', checkpoint });
   }
 
   /** Ends all runs as lost on workers whose leases have certainly expired. */
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -159,7 +159,7 @@
       advice: this.advice,
       knowsWorkers: this.book.now() - this.#startedAt >= KNOWS_WORKERS_AFTER_MS,
     });
-    starts.forEach((start) => this.book.startRuns(start));
+    starts.forEach((start) => this.book.assignRuns(start));
     stops.forEach(({ occupant, forJob }) => {
       const [first] = occupant.assignments;
       if (first !== undefined) this.book.stopRun(first, `room for ${forJob.id}`);
