--- a/packages/cell/src/evacuation/start-withdrawal.ts
+++ b/packages/cell/src/evacuation/start-withdrawal.ts
@@ -1,12 +1,12 @@
 /** Withdraws runs that have not started yet in an evacuated failure domain. Runs that have started there run to their end. */
 import type { Assignment, Worker } from '../worker/worker.js';
-import type { RunBook } from '../owner/run-book.js';
+import type { RunRegistry } from '../owner/run-registry.js';
 
 const REASON = 'failure domain evacuated';
 
 /** Returns how many runs were withdrawn and how many continue there. */
 export function withdrawPendingStarts(
-  book: RunBook,
+  book: RunRegistry,
   failureDomain: string,
 ): { withdrawn: number; running: number } {
   const workers = [...book.fleet.all()].filter(
@@ -22,10 +22,10 @@
   return counts;
 }
 
-function withdraw(book: RunBook, worker: Worker, assignment: Assignment): boolean {
+function withdraw(book: RunRegistry, worker: Worker, assignment: Assignment): boolean {
   if (assignment.stopping !== undefined) return false;
   // A run that isn't durable was never ordered. It also must not be written any more: that write would fail repeatedly.
-  if (!book.orders.isDurable(assignment)) book.lose(worker, assignment, REASON);
-  else book.stop(assignment, REASON);
+  if (!book.orders.isDurable(assignment)) book.markLost(worker, assignment, REASON);
+  else book.stopRun(assignment, REASON);
   return true;
 }
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -1,4 +1,4 @@
-/** The owner of a cell at work, for one term: recovery, contacts of guards, passes, writes. */
+/** One term of a cell's owner: loads the jobs, answers contacts from guards, runs placing passes, writes progress. */
 import {
   ProblemError,
   problem,
@@ -26,102 +26,102 @@
 import type { Worker } from '../worker/worker.js';
 import { CONTACT_TIMEOUT_MS } from '../guard/guard-app.js';
 import { START_TAKES_MS } from '../guard/run-orders.js';
-import { ordersFor, takeUpContact } from './contact-handler.js';
-import { EndedSweeper } from './ended-sweeper.js';
+import { ordersFor, applyContact } from './contact-handler.js';
+import { EndedJobSweeper } from './ended-job-sweeper.js';
 import { leaseDurationMs } from './lease-duration.js';
 import type { OwnedJob } from './owned-job.js';
 import type { ReclaimBounds } from './placement-types.js';
-import { ProgressWriter, type OwnerTransact } from './progress-writer.js';
-import type { RunBook } from './run-book.js';
+import { ProgressWriter, type FencedTransact } from './progress-writer.js';
+import type { RunRegistry } from './run-registry.js';
 import { Scheduler } from './scheduler.js';
 
-/** Pause between passes when nothing happens, in ms: time alone changes what may be placed. */
-const PASS_EVERY_MS = 200;
+/** Interval between passes when no event occurs, in ms: time alone can change what may be placed. */
+const PASS_INTERVAL_MS = 200;
 
 /**
- * Shortest pause between two passes, in ms: what happens meanwhile is decided together, as each pass looks over all workers.
- * An urgent job of 2.5 s doesn't feel it.
+ * Minimum interval between passes, in ms. Each pass goes over all workers, so events within the interval share one. The delay
+ * doesn't matter even to an urgent job of 2.5 s.
  */
-const PASS_PAUSE_MS = 25;
+const MIN_PASS_INTERVAL_MS = 25;
 
 /**
- * An owner that the store hasn't confirmed for this long gives no authority any more, in ms: longer than the outages
- * that tasks are to outlive, since a rival needs the store too. A new owner waits as long for workers that it can't
- * reach.
+ * An owner that the store hasn't confirmed for this long grants no more leases, in ms. Longer than the store outages that
+ * tasks have to survive, which is safe because a rival needs the store too. A new owner waits as long for workers that it
+ * can't reach, since its predecessor may have granted leases until then.
  */
-export const UNCONFIRMED_MS = 12_000;
+export const LEASE_MAX_UNCONFIRMED_MS = 12_000;
 
 /**
- * One that hasn't been confirmed for this long decides nothing, in ms: a rival takes over after about as long, and what
- * its silent workers do is then the rival's to judge.
+ * An owner that the store hasn't confirmed for this long runs no passes, in ms: a rival takes over after about as long, and
+ * then only the rival may judge workers that have stopped reporting.
  */
-const DECIDE_WITHIN_MS = 1500;
+const DECISION_MAX_UNCONFIRMED_MS = 1500;
 
-/** A guard is given this long to take a poke, in ms. */
-const POKE_TIMEOUT_MS = 1000;
+/** Time-out of `cell.poke` calls to guards, in ms. */
+const NOTIFY_TIMEOUT_MS = 1000;
 
-/** From the order in an owner's answer to its last try at a runner, in ms: the contact's time, and the guard's for a start. */
-const ORDER_TAKES_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
+/** Longest time from an order in the owner's answer to its last attempt at the runner, in ms: a contact plus a guard's start. */
+const ORDER_DELIVERY_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
 
-/** What is known of evacuations is good for this long at least, in ms: two reads of them. */
-const LEAST_STALE_MS = 900;
+/** Minimum time for which known evacuations stay valid, in ms: two reads of them. */
+const MIN_EVACUATION_VALIDITY_MS = 900;
 
-/** The operator's evacuations. */
-export interface EvacuationBounds {
+/** Where the operator's evacuations are stored, and how soon they apply. */
+export interface EvacuationOptions {
   source: EvacuationSource;
-  /** Nothing may start in an evacuated failure domain after this time, in ms. */
+  /** No run may start in an evacuated failure domain after this time, in ms. */
   applyMs: number;
 }
 
-/** What an owner is made of. */
+/** Dependencies and settings of an owner. */
 export interface CellOwnerOptions {
   ctx: ProcessContext;
   store: RowStore;
-  /** Undefined where no queue needs it. */
+  /** Undefined if no queue needs advice. */
   advisor: Advisor | undefined;
   term: number;
   ownerVersion: number;
-  /** Longest authority that a contact gives, in ms. */
+  /** Longest lease that a contact grants, in ms. */
   leaseMs: number;
   reclaim: ReclaimBounds;
-  evacuation: EvacuationBounds;
-  /** Ended jobs are shown for this long, in ms. */
+  evacuation: EvacuationOptions;
+  /** Ended jobs stay visible for this long, in ms. */
   keepEndedMs: number;
   config: () => CellConfig | undefined;
-  /** Where the operator's configuration stands. */
+  /** Row of the operator's configuration. */
   configKey: RowKey;
   /** When the store last confirmed this owner, on the monotonic clock. */
   confirmedAt: () => number;
-  /** Writes in this owner's name. */
-  transact: OwnerTransact;
-  /** This term is over, for the reason given. */
-  onDeposed: (reason: string) => void;
+  /** Sends a write that takes effect only while this entry owns the cell. */
+  transact: FencedTransact;
+  /** The term has ended, for the given reason. */
+  onOwnershipLost: (reason: string) => void;
 }
 
-/** One term. */
+/** Owner of a cell for one term. */
 export class CellOwner {
   readonly #options: CellOwnerOptions;
 
   /** All jobs of the cell. */
-  readonly #view: JobView;
+  readonly #jobView: JobView;
 
-  /** Started with the term: what it reads first, no earlier owner can change any more. */
-  readonly #follower: TableFollower;
+  /** Started with the term, so that no earlier owner can change what it reads first. */
+  readonly #jobFollower: TableFollower;
 
   readonly #scheduler: Scheduler;
 
-  readonly #writer: ProgressWriter;
+  readonly #progressWriter: ProgressWriter;
 
-  readonly #sweeper: EndedSweeper;
+  readonly #endedJobSweeper: EndedJobSweeper;
 
   readonly #evacuationWatch: EvacuationPoller;
 
   readonly #adviceDesk: ApprovalRequester | undefined;
 
   /** Links to guards, by VM. */
-  readonly #guards = new Map<string, Peer>();
+  readonly #guardPeers = new Map<string, Peer>();
 
-  readonly #poking = new Set<string>();
+  readonly #notifying = new Set<string>();
 
   #loaded = false;
 
@@ -129,61 +129,61 @@
 
   #passTimer: NodeJS.Timeout | undefined;
 
-  #passDue = false;
+  #passScheduled = false;
 
-  #passedAt = -Infinity;
+  #lastPassAt = -Infinity;
 
   constructor(options: CellOwnerOptions) {
     this.#options = options;
     const { ctx, store, ownerVersion, leaseMs, reclaim, config, keepEndedMs, advisor } = options;
     const { source, applyMs } = options.evacuation;
-    const staleAfterMs = Math.max(LEAST_STALE_MS, applyMs - ORDER_TAKES_MS);
+    const staleAfterMs = Math.max(MIN_EVACUATION_VALIDITY_MS, applyMs - ORDER_DELIVERY_MS);
     const evacuations = new Evacuations({ source, staleAfterMs });
     const view = new JobView({ ctx });
-    view.subscribe((known) => this.#noteJob(known));
-    this.#view = view;
-    this.#follower = new TableFollower({
+    view.subscribe((known) => this.#onJobChanged(known));
+    this.#jobView = view;
+    this.#jobFollower = new TableFollower({
       ctx,
       store,
       table: JOB_TABLE,
       onRows: (rows) => rows.forEach((row) => view.apply(row)),
-      onLoaded: (rows) => this.#open(rows),
+      onLoaded: (rows) => this.#onLoaded(rows),
     });
     this.#scheduler = new Scheduler({
       ctx,
       leaseMs,
-      previousOwnerGrantMs: UNCONFIRMED_MS,
+      previousOwnerGrantMs: LEASE_MAX_UNCONFIRMED_MS,
       reclaim,
       evacuations,
       config,
       events: {
-        onChanged: (job) => this.#writer.mark(job),
-        onNews: (vm) => this.#poke(vm),
+        onProgressChanged: (job) => this.#progressWriter.markDirty(job),
+        onOrdersChanged: (vm) => this.#notifyGuard(vm),
       },
     });
     this.#evacuationWatch = new EvacuationPoller({
       ctx,
       store,
       evacuations,
-      onChanges: (changes) => this.#noteEvacuations(changes),
+      onChanges: (changes) => this.#applyEvacuations(changes),
     });
     if (advisor !== undefined) {
       this.#adviceDesk = new ApprovalRequester({
         ctx,
         advisor,
         cache: this.#scheduler.approvals,
-        onUpdate: () => this.#wantPass(),
+        onUpdate: () => this.#schedulePass(),
       });
     }
-    this.#sweeper = new EndedSweeper({
+    this.#endedJobSweeper = new EndedJobSweeper({
       ctx,
       store,
       view,
       ownerVersion,
       keepEndedMs,
-      onRemoved: (jobId) => this.#book.ended.delete(jobId),
+      onRemoved: (jobId) => this.#registry.endedJobs.delete(jobId),
     });
-    this.#writer = new ProgressWriter({
+    this.#progressWriter = new ProgressWriter({
       ctx,
       transact: options.transact,
       ownerVersion,
@@ -191,173 +191,179 @@
       configKey: options.configKey,
       events: {
         onEvacuationConflict: (named, rows, sentAt) =>
-          this.#noteEvacuations(evacuations.applyConflict(named, rows, sentAt)),
-        onDurable: (jobs) => this.#noteDurable(jobs),
-        onAccepted: (rows) => this.#takeUpAccepted(rows),
-        onCancelled: (job) => this.#book.cancel(job),
-        onRemoved: (job) => this.#book.jobs.delete(job.id),
-        onDeposed: options.onDeposed,
+          this.#applyEvacuations(evacuations.applyConflict(named, rows, sentAt)),
+        onDurable: (jobs) => this.#onDurable(jobs),
+        onAccepted: (rows) => this.#addAccepted(rows),
+        onCancelled: (job) => this.#registry.cancelJob(job),
+        onRemoved: (job) => this.#registry.jobs.delete(job.id),
+        onOwnershipLost: options.onOwnershipLost,
       },
     });
   }
 
-  get #book(): RunBook {
+  get #registry(): RunRegistry {
     return this.#scheduler.book;
   }
 
   start(): void {
-    this.#follower.start();
+    this.#jobFollower.start();
     this.#evacuationWatch.start();
-    this.#sweeper.start();
+    this.#endedJobSweeper.start();
   }
 
   stop(): void {
     this.#stopped = true;
-    this.#follower.stop();
+    this.#jobFollower.stop();
     this.#evacuationWatch.stop();
-    this.#sweeper.stop();
-    this.#writer.stop();
+    this.#endedJobSweeper.stop();
+    this.#progressWriter.stop();
     clearTimeout(this.#passTimer);
   }
 
-  /** A row that an entry has written: the feed may tell of it a second later. */
-  noteWritten(row: Row): void {
-    this.#view.apply({ ...row, deleted: false });
+  /** Applies a job row that an entry has written; the store's feed may deliver it a second later. */
+  applyWrittenRow(row: Row): void {
+    this.#jobView.apply({ ...row, deleted: false });
   }
 
-  /** Accepts a job with the owner's next write. Throws ProblemError `not-owner` before the books are read: nothing was done. */
+  /** Accepts a job in the owner's next write. Throws ProblemError `not-owner`, with nothing done, until the jobs are loaded. */
   async accept(call: AcceptanceCall): Promise<AcceptanceResult> {
-    if (!this.#loaded || this.#stopped) throw notOwner();
-    if (this.#view.get(call.jobId) !== undefined) return { outcome: 'exists' };
-    const result = await this.#writer.accept(call);
+    if (!this.#loaded || this.#stopped) throw notOwnerError();
+    if (this.#jobView.get(call.jobId) !== undefined) return { outcome: 'exists' };
+    const result = await this.#progressWriter.accept(call);
     this.#options.ctx.metrics.count(`owner.accept-${result.outcome}`);
     return result;
   }
 
-  /** How many jobs of a queue wait; undefined before the books are read. */
-  waiting(queue: string): number | undefined {
-    return this.#loaded && !this.#stopped ? this.#view.waiting(queue) : undefined;
+  /** Number of waiting jobs of a queue; undefined until the jobs are loaded. */
+  waitingJobs(queue: string): number | undefined {
+    return this.#loaded && !this.#stopped ? this.#jobView.waiting(queue) : undefined;
   }
 
-  #noteJob(known: KnownJob): void {
+  #onJobChanged(known: KnownJob): void {
     if (!this.#loaded || this.#stopped) return;
-    const own = this.#book.jobs.get(known.id);
-    if (own !== undefined) {
-      if (known.cancelled && !own.cancelled) this.#book.cancel(own);
-      this.#wantPass();
+    const owned = this.#registry.jobs.get(known.id);
+    if (owned !== undefined) {
+      if (known.cancelled && !owned.cancelled) this.#registry.cancelJob(owned);
+      this.#schedulePass();
       return;
     }
-    // A job that this owner has ended isn't taken up again, also when a feed that is behind tells of it only now.
-    if (this.#book.ended.has(known.id) || known.progressVersion > 0) return;
+    // A job that this owner has ended isn't added again, even if a lagging feed delivers it only now.
+    if (this.#registry.endedJobs.has(known.id) || known.progressVersion > 0) return;
     this.#scheduler.add(known);
-    this.#wantPass();
+    this.#schedulePass();
   }
 
-  /** Takes up what a guard tells and answers its orders. Throws ProblemError `not-owner` before the books are read. */
-  contact(req: CellContact, peer: Peer): CellOrders {
-    if (!this.#loaded || this.#stopped) throw notOwner();
+  /** Applies a guard's report and returns its orders. Throws ProblemError `not-owner` until the jobs are loaded. */
+  handleContact(req: CellContact, peer: Peer): CellOrders {
+    if (!this.#loaded || this.#stopped) throw notOwnerError();
     const { term } = this.#options;
     const vm = peer.process.id;
     this.#options.ctx.metrics.count('owner.contact');
-    this.#guards.set(vm, peer);
-    const worker = this.#book.fleet.get(vm);
-    this.#grantReturned(worker, req);
-    if (takeUpContact(this.#book, worker, req)) this.#wantPass();
-    const orders = ordersFor(this.#book, worker, req);
+    this.#guardPeers.set(vm, peer);
+    const worker = this.#registry.fleet.get(vm);
+    this.#grantToReplacedRunner(worker, req);
+    if (applyContact(this.#registry, worker, req)) this.#schedulePass();
+    const orders = ordersFor(this.#registry, worker, req);
     const unconfirmedMs = this.#unconfirmedMs();
-    const told = { term, unconfirmedMs, ...orders };
-    if (unconfirmedMs >= UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
+    const answer = { term, unconfirmedMs, ...orders };
+    if (unconfirmedMs >= LEASE_MAX_UNCONFIRMED_MS) return { ...answer, leaseMs: 0, starts: [] };
     const leaseMs = leaseDurationMs(worker.runner, this.#options.leaseMs);
-    worker.grant(this.#book.now(), leaseMs);
-    return { ...told, leaseMs };
+    worker.grant(this.#registry.now(), leaseMs);
+    return { ...answer, leaseMs };
   }
 
-  /** Calls that were meant for the life before may have given the one that took its id the longest lease there is. */
-  #grantReturned(worker: Worker, { runner }: CellContact): void {
+  /** Calls meant for the runner's previous life may have given the new life with the same id the longest possible lease. */
+  #grantToReplacedRunner(worker: Worker, { runner }: CellContact): void {
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
     if (runnerIdOf(earlier) !== runnerIdOf(runner.id)) return;
-    worker.grant(this.#book.now(), this.#options.leaseMs);
+    worker.grant(this.#registry.now(), this.#options.leaseMs);
   }
 
-  /** At once, so that what starts of them goes with the next write of a slow store, not with the one after. */
-  #takeUpAccepted(rows: readonly Row[]): void {
-    rows.forEach((row) => this.noteWritten(row));
-    this.#pass();
+  /** Runs a pass at once: with a slow store, starts of these jobs then go into the next write, not the one after. */
+  #addAccepted(rows: readonly Row[]): void {
+    rows.forEach((row) => this.applyWrittenRow(row));
+    this.#runPass();
   }
 
   #unconfirmedMs(): number {
-    return this.#book.now() - this.#options.confirmedAt();
+    return this.#registry.now() - this.#options.confirmedAt();
   }
 
-  #open(rows: number): void {
+  #onLoaded(rows: number): void {
     if (this.#stopped) return;
     const { ctx, term } = this.#options;
-    [...this.#view.all()].forEach((known) => this.#scheduler.add(known));
+    [...this.#jobView.all()].forEach((known) => this.#scheduler.add(known));
     this.#loaded = true;
-    ctx.log.info({ term, jobs: this.#book.jobs.size, rows }, 'owner at work');
-    this.#pass();
+    ctx.log.info(
+      { term, jobs: this.#registry.jobs.size, rows },
+      'owner loaded the jobs of the cell',
+    );
+    this.#runPass();
   }
 
-  #noteEvacuations(changes: readonly EvacuationChange[]): void {
+  #applyEvacuations(changes: readonly EvacuationChange[]): void {
     if (this.#stopped) return;
     this.#scheduler.applyEvacuations(changes);
-    if (changes.length > 0) this.#wantPass();
+    if (changes.length > 0) this.#schedulePass();
   }
 
-  #wantPass(): void {
-    if (this.#passDue || this.#stopped) return;
-    this.#passDue = true;
+  #schedulePass(): void {
+    if (this.#passScheduled || this.#stopped) return;
+    this.#passScheduled = true;
     clearTimeout(this.#passTimer);
-    const pauseMs = Math.max(0, this.#passedAt + PASS_PAUSE_MS - this.#book.now());
-    this.#passTimer = setTimeout(() => this.#pass(), pauseMs);
+    const pauseMs = Math.max(0, this.#lastPassAt + MIN_PASS_INTERVAL_MS - this.#registry.now());
+    this.#passTimer = setTimeout(() => this.#runPass(), pauseMs);
   }
 
-  #pass(): void {
-    this.#passDue = false;
+  #runPass(): void {
+    this.#passScheduled = false;
     if (this.#stopped || !this.#loaded) return;
     clearTimeout(this.#passTimer);
-    this.#passTimer = setTimeout(() => this.#pass(), PASS_EVERY_MS);
-    const startedAt = this.#book.now();
-    this.#passedAt = startedAt;
-    if (this.#unconfirmedMs() > DECIDE_WITHIN_MS) return;
+    this.#passTimer = setTimeout(() => this.#runPass(), PASS_INTERVAL_MS);
+    const startedAt = this.#registry.now();
+    this.#lastPassAt = startedAt;
+    if (this.#unconfirmedMs() > DECISION_MAX_UNCONFIRMED_MS) return;
     try {
       const questions = this.#scheduler.runPass();
       this.#adviceDesk?.requestFirst(questions);
     } catch (err) {
       this.#options.ctx.metrics.count('pass.failed');
-      this.#options.ctx.log.error({ err }, 'a placing pass failed');
+      this.#options.ctx.log.error({ err }, 'placing pass failed');
     }
-    this.#options.ctx.metrics.timing('pass', this.#book.now() - startedAt);
+    this.#options.ctx.metrics.timing('pass', this.#registry.now() - startedAt);
   }
 
-  #noteDurable(jobs: readonly OwnedJob[]): void {
+  #onDurable(jobs: readonly OwnedJob[]): void {
     const ids = new Set(jobs.map(({ id }) => id));
-    this.#book.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#poke(vm));
-    this.#wantPass();
+    this.#registry.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#notifyGuard(vm));
+    this.#schedulePass();
   }
 
-  /** Makes the guard come for its orders. If that fails, its next contact brings them. */
-  #poke(vm: string): void {
-    const peer = this.#guards.get(vm);
-    if (peer === undefined || peer.closed || this.#poking.has(vm) || this.#stopped) return;
-    this.#poking.add(vm);
+  /** Asks the guard to fetch its orders now. If that fails, its next contact brings them. */
+  #notifyGuard(vm: string): void {
+    const peer = this.#guardPeers.get(vm);
+    if (peer === undefined || peer.closed || this.#notifying.has(vm) || this.#stopped) return;
+    this.#notifying.add(vm);
     setImmediate(() => {
-      this.#poking.delete(vm);
-      peer.call('cell.poke', {}, { timeoutMs: POKE_TIMEOUT_MS }).catch((err: unknown) => {
+      this.#notifying.delete(vm);
+      peer.call('cell.poke', {}, { timeoutMs: NOTIFY_TIMEOUT_MS }).catch((err: unknown) => {
         this.#options.ctx.metrics.count('owner.poke-failed');
-        this.#options.ctx.log.info({ vm, err: String(err) }, 'poking a guard failed');
+        this.#options.ctx.log.info(
+          { vm, err: String(err) },
+          'could not ask the guard to fetch its orders',
+        );
       });
     });
   }
 }
 
-/** Thrown to a guard that calls the wrong entry. */
-export function notOwner(): ProblemError {
+/** Error for callers that take this entry for the owner of the cell. */
+export function notOwnerError(): ProblemError {
   return new ProblemError(
     problem('not-owner', {
-      detail: 'This entry does not own the cell, or has not read its jobs yet.',
-      remedy: 'Look the owner up in the store and call it.',
+      detail: 'This entry does not own the cell, or has not loaded its jobs yet.',
+      remedy: 'Look up the owner in the store and call it.',
     }),
   );
 }
--- a/packages/cell/src/owner/changing-capacity.steps.ts
+++ b/packages/cell/src/owner/changing-capacity.steps.ts
@@ -4,21 +4,21 @@
 import { eventually } from '../testing/cell-world.support.js';
 import { sendHeartbeat } from '../testing/worker-vm.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
-import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
+import { cellOf, submitJob, firstJob, type CellTestContext } from './cell-test-context.support.js';
 
 /** The owner learns of a heartbeat with the next contact, within this time. */
 const HEARTBEAT_KNOWN_AFTER_MS = 1200;
 
 const POLL_INTERVAL_MS = 20;
 
-function runningTasks(world: CellSteps): number {
+function runningTasks(world: CellTestContext): number {
   const [worker] = cellOf(world).workers;
   return worker?.runner.life?.running().length ?? 0;
 }
 
 When(
   'its runner reports a capacity of {int} accelerators',
-  async function (this: CellSteps, accelerators: number) {
+  async function (this: CellTestContext, accelerators: number) {
     const [worker] = cellOf(this).workers;
     assert.ok(worker);
     const grows = accelerators > worker.accelerators;
@@ -30,9 +30,14 @@
 
 When(
   /^a job of (\d+) tasks? that takes? (\d) s is submitted( and all have started)?$/,
-  async function (this: CellSteps, tasks: string, seconds: string, allStarted: string | null) {
+  async function (
+    this: CellTestContext,
+    tasks: string,
+    seconds: string,
+    allStarted: string | null,
+  ) {
     const steps = [testStep({ tasks: Number(tasks) })];
-    await handIn(this, { steps, spec: { workMs: Number(seconds) * 1000 } });
+    await submitJob(this, { steps, spec: { workMs: Number(seconds) * 1000 } });
     if (allStarted === null) return;
     assert.ok(await eventually(() => runningTasks(this) === Number(tasks)));
   },
@@ -41,9 +46,9 @@
 Then(
   'at most {int} of its tasks run at the same time',
   { timeout: 15_000 },
-  async function (this: CellSteps, max: number) {
+  async function (this: CellTestContext, max: number) {
     let maxSeen = 0;
-    while ((await cellOf(this).state(jobOf(this))) !== 'completed') {
+    while ((await cellOf(this).state(firstJob(this))) !== 'completed') {
       maxSeen = Math.max(maxSeen, runningTasks(this));
       await pause(POLL_INTERVAL_MS);
     }
@@ -54,7 +59,7 @@
 Then(
   'the second job starts only after the first has ended',
   { timeout: 15_000 },
-  async function (this: CellSteps) {
+  async function (this: CellTestContext) {
     const cell = cellOf(this);
     const [first, second] = this.jobs;
     assert.ok(first !== undefined && second !== undefined);
@@ -63,9 +68,9 @@
   },
 );
 
-Then('its tasks ran once each', function (this: CellSteps) {
+Then('its tasks ran once each', function (this: CellTestContext) {
   const runs = cellOf(this)
-    .starts(jobOf(this))
+    .starts(firstJob(this))
     .map(({ run }) => run);
   assert.deepEqual(
     runs,
@@ -73,7 +78,7 @@
   );
 });
 
-Then(/^its first run has started within 0.8 s$/, async function (this: CellSteps) {
-  const hasStarted = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
+Then(/^its first run has started within 0.8 s$/, async function (this: CellTestContext) {
+  const hasStarted = (): boolean => cellOf(this).starts(firstJob(this)).length > 0;
   assert.ok(await eventually(hasStarted, 800));
 });
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -1,4 +1,4 @@
-/** What a guard tells the owner is taken into the books here, and what is to be so on its runner is worked out. */
+/** Applies a guard's report to the owner's registry, and computes the orders for its runner. */
 import type {
   CellContact,
   CellOrders,
@@ -11,17 +11,17 @@
 import { isSameDemand } from '../job/submission.js';
 import { parseTaskName, runKey } from '../job/task-name.js';
 import type { Assignment, Worker } from '../worker/worker.js';
-import { takeUpCrash, takeUpUntoldCrash } from './crash-report.js';
-import type { RunBook } from './run-book.js';
+import { recordReportedCrash, recordUnreportedCrash } from './crash-attribution.js';
+import type { RunRegistry } from './run-registry.js';
 import { trackUnaccountedRuns } from './unaccounted-runs.js';
 
-/** A worker that refused a start for want of room is left alone this long, in ms: a stop takes about as long. */
-const ROOM_PAUSE_MS = 300;
+/** A worker that refused a start for lack of room is given no runs for this long, in ms: a stop takes about as long. */
+const NO_ROOM_BACKOFF_MS = 300;
 
-/** One whose runner didn't answer, or says that it is unhealthy, in ms. */
-const UNAVAILABLE_PAUSE_MS = 2000;
+/** The same for a worker whose runner didn't answer or reports itself unhealthy, in ms. */
+const UNAVAILABLE_BACKOFF_MS = 2000;
 
-/** Orders without what the term says of itself. */
+/** Orders without the fields about the owner's term. */
 export type RunnerOrders = Omit<CellOrders, 'term' | 'leaseMs' | 'unconfirmedMs'>;
 
 const NO_ORDERS: RunnerOrders = {
@@ -32,107 +32,119 @@
   confirmedEnd: 0,
 };
 
-/** Takes up one contact. True if it may let something start or stop; most tell of progress only. */
-export function takeUpContact(book: RunBook, worker: Worker, contact: CellContact): boolean {
+/** Applies one contact. True if runs may have to start or stop because of it; most contacts report progress only. */
+export function applyContact(registry: RunRegistry, worker: Worker, contact: CellContact): boolean {
   const earlier = worker.runner;
-  const wasThere = book.fleet.isSchedulable(worker);
+  const wasPlaceable = registry.fleet.isSchedulable(worker);
   const earlierLife = earlier?.id;
   const runsBefore = worker.assignments.size;
-  worker.noteContact(book.now(), contact.runner);
+  worker.noteContact(registry.now(), contact.runner);
   if (contact.runner !== undefined && contact.runner.id !== earlierLife) {
-    book.log('runner known', { vm: worker.vm, runner: contact.runner.id, earlierLife });
+    registry.log('new runner life reported', {
+      vm: worker.vm,
+      runner: contact.runner.id,
+      earlierLife,
+    });
   }
-  contact.ends.forEach((end) => takeUpEnd(book, worker, end));
-  contact.refused.forEach((refused) => takeUpRefusal(book, worker, refused));
+  contact.ends.forEach((end) => applyEnd(registry, worker, end));
+  contact.refused.forEach((refused) => applyRefusal(registry, worker, refused));
   contact.running.forEach((status) => {
     const assignment = assignmentOf(worker, status);
     if (assignment === undefined) return;
     if (assignment.runningAt === undefined || status.percent > assignment.percent) {
-      assignment.progressAt = book.now();
+      assignment.progressAt = registry.now();
     }
     if (assignment.runningAt === undefined) assignment.firstPercent = status.percent;
-    assignment.runningAt ??= book.now();
+    assignment.runningAt ??= registry.now();
     assignment.percent = status.percent;
     assignment.checkpoint = status.checkpoint;
   });
-  if (contact.crash !== undefined) takeUpCrash(book, worker, contact.crash);
-  noteUntoldCrash(book, worker, { earlier, contact });
-  loseWhatCannotRun(book, worker, contact);
-  watchServing(book, worker, contact);
+  if (contact.crash !== undefined) recordReportedCrash(registry, worker, contact.crash);
+  noteUnreportedCrash(registry, worker, { earlier, contact });
+  markImpossibleRunsLost(registry, worker, contact);
+  adjustPace(registry, worker, contact);
   const { runner, ends, refused } = contact;
-  const isOther = !isSameRunner(runner, earlier);
+  const factsChanged = !hasSameFacts(runner, earlier);
   const hasChanged = worker.assignments.size !== runsBefore;
-  return ends.length > 0 || refused.length > 0 || hasChanged || isOther || !wasThere;
+  return ends.length > 0 || refused.length > 0 || hasChanged || factsChanged || !wasPlaceable;
 }
 
-/** False if something may start, or may not any more, by what the runner says of itself. */
-function isSameRunner(a: RunnerFacts | undefined, b: RunnerFacts | undefined): boolean {
+/** False if the runner's facts changed in a way that affects what may start there. */
+function hasSameFacts(a: RunnerFacts | undefined, b: RunnerFacts | undefined): boolean {
   if (a === undefined || b === undefined) return a === b;
   return a.id === b.id && a.draining === b.draining && isSameDemand(a.capacity, b.capacity);
 }
 
-/** Sets the pace of what fills the worker by how its serving tasks do. */
-function watchServing(book: RunBook, worker: Worker, { running }: CellContact): void {
+/** Adapts the speed of filler runs on the worker to the latency of its serving tasks. */
+function adjustPace(registry: RunRegistry, worker: Worker, { running }: CellContact): void {
   const paces = running.flatMap(({ pace }) => pace ?? []);
   if (paces.length > 0) worker.pacer.adopt(Math.min(...paces));
   const serving = running.flatMap((status) => {
-    const targetMs = book.stepOf(assignmentOf(worker, status))?.targetMs;
+    const targetMs = registry.stepOf(assignmentOf(worker, status))?.targetMs;
     return targetMs === undefined ? [] : [{ tailMs: status.load ?? 0, targetMs }];
   });
   const before = worker.pacer.percent;
-  worker.pacer.look(serving, book.now());
+  worker.pacer.look(serving, registry.now());
   const { percent } = worker.pacer;
-  if (percent !== before) book.log('worker paced', { vm: worker.vm, percent, before, serving });
+  if (percent !== before) registry.log('pace changed', { vm: worker.vm, percent, before, serving });
 }
 
-/** What is to be so: starts that aren't known there yet, stops of what shouldn't run. */
-export function ordersFor(book: RunBook, worker: Worker, contact: CellContact): RunnerOrders {
-  const confirmedEnd = book.confirmEnds(worker);
-  // Without a runner's listing nothing follows from what isn't listed.
+/** Computes the orders for the desired state: starts that the guard doesn't know yet, stops of runs that shouldn't go on. */
+export function ordersFor(
+  registry: RunRegistry,
+  worker: Worker,
+  contact: CellContact,
+): RunnerOrders {
+  const confirmedEnd = registry.confirmEnds(worker);
+  // Without a runner's report, nothing follows from a run that isn't reported.
   if (contact.runner === undefined) return { ...NO_ORDERS };
   const known = new Set(
     [...contact.running, ...contact.inProgress, ...contact.ends, ...contact.refused].map(runKey),
   );
   const runner = worker.runner?.id ?? '';
-  const here = [...worker.assignments.values()].filter(
+  const assignedHere = [...worker.assignments.values()].filter(
     (assignment) => assignment.runner === runner,
   );
-  const unstarted = here.filter((assignment) => !known.has(runKey(toRunName(assignment))));
-  // Placed anew once it is barred.
-  unstarted
-    .filter((assignment) => book.orders.lacksTicket(assignment))
-    .forEach((assignment) => book.stop(assignment, 'ticket expired'));
-  const listed = [...contact.running, ...contact.inProgress].filter(
-    (run) => !book.orders.mayContinue(assignmentOf(worker, run)),
+  const unreported = assignedHere.filter((assignment) => !known.has(runKey(toRunName(assignment))));
+  // Stopped, and placed again once the runner has barred it.
+  unreported
+    .filter((assignment) => registry.orders.lacksTicket(assignment))
+    .forEach((assignment) => registry.stopRun(assignment, 'ticket expired'));
+  const runsToStop = [...contact.running, ...contact.inProgress].filter(
+    (run) => !registry.orders.mayContinue(assignmentOf(worker, run)),
   );
-  const wanted = unstarted.filter((assignment) => book.orders.isWanted(assignment));
-  const ordered = wanted.filter((assignment) => book.orders.mayOrderStart(assignment, worker));
-  const starts = ordered.map((assignment): StartOrder => book.orders.orderFor(assignment));
-  // Not listed and not to start: barred there, so that no late call starts it. Also of a job that is over, as nothing else would
-  // ever ask what became of the run: a member of a gang that others' ends completed would keep its room for good.
-  const barred = unstarted.filter((each) => !wanted.includes(each)).map(toRunName);
-  const stops = [...listed, ...barred].map(({ task, run }) => ({ task, run }));
-  // Neither told of nor ordered anything.
+  const wanted = unreported.filter((assignment) => registry.orders.isWanted(assignment));
+  const ordered = wanted.filter((assignment) => registry.orders.mayOrderStart(assignment, worker));
+  const starts = ordered.map((assignment): StartOrder => registry.orders.orderFor(assignment));
+  // Neither reported nor to be started: a stop bars the run there, so that no late call starts it. Also runs of jobs that have
+  // ended, since nothing else asks what became of them: a gang member whose step others completed would keep its room for good.
+  const barred = unreported.filter((each) => !wanted.includes(each)).map(toRunName);
+  const stops = [...runsToStop, ...barred].map(({ task, run }) => ({ task, run }));
+  // Neither reported nor ordered to start or stop.
   trackUnaccountedRuns(
-    book,
+    registry,
     worker,
     wanted.filter((each) => !ordered.includes(each)),
   );
-  return { runner, starts, stops, confirmedEnd, paces: pacesFor(book, worker, contact) };
+  return { runner, starts, stops, confirmedEnd, paces: paceOrdersFor(registry, worker, contact) };
 }
 
-/** Nothing, until something was paced here: a runner lets each run work in full by itself. */
-function pacesFor(book: RunBook, worker: Worker, { running }: CellContact): PaceOrder[] {
+/** Empty until the first slowdown on this worker: by default a runner lets each run work at full speed. */
+function paceOrdersFor(
+  registry: RunRegistry,
+  worker: Worker,
+  { running }: CellContact,
+): PaceOrder[] {
   const { isPacing, percent } = worker.pacer;
   if (!isPacing) return [];
   return running
-    .filter((status) => book.stepOf(assignmentOf(worker, status))?.fills)
+    .filter((status) => registry.stepOf(assignmentOf(worker, status))?.fills)
     .map(({ task, run }) => ({ task, run, percent }));
 }
 
-function takeUpEnd(book: RunBook, worker: Worker, end: ListedEnd): void {
+function applyEnd(registry: RunRegistry, worker: Worker, end: ListedEnd): void {
   if (worker.hasEnd(end.number)) {
-    noteSkippedEnd(book, worker, end);
+    reportSkippedEnd(registry, worker, end);
     return;
   }
   const parsed = parseTaskName(end.task);
@@ -140,71 +152,78 @@
   const change =
     parsed === undefined
       ? undefined
-      : book.end(parsed.jobId, {
+      : registry.recordEnd(parsed.jobId, {
           ref: parsed.ref,
           run: end.run,
           how: end.how,
           checkpoint: end.checkpoint,
         });
-  if (assignment !== undefined) book.noteHealth(worker, assignment, end.how);
+  if (assignment !== undefined) registry.recordRunHealth(worker, assignment, end.how);
   worker.noteEnd(end.number, { jobId: parsed?.jobId ?? '', change: change ?? 0 });
   if (assignment !== undefined) worker.assignments.delete(assignment.name);
 }
 
-/** Its number says that it was taken up before, yet its run is still in the books: one of the two is wrong. */
-function noteSkippedEnd(book: RunBook, worker: Worker, end: ListedEnd): void {
+/** Reports an end whose number was applied before although its run is still assigned: one of the two is wrong. */
+function reportSkippedEnd(registry: RunRegistry, worker: Worker, end: ListedEnd): void {
   if (assignmentOf(worker, end) === undefined) return;
   const { number, task, run, how } = end;
-  book.count('end.skipped');
-  book.log('end skipped', { vm: worker.vm, runner: worker.runner?.id, number, task, run, how });
+  registry.count('end.skipped');
+  registry.log('skipped the end of a run that is still assigned', {
+    vm: worker.vm,
+    runner: worker.runner?.id,
+    number,
+    task,
+    run,
+    how,
+  });
 }
 
-function takeUpRefusal(
-  book: RunBook,
+function applyRefusal(
+  registry: RunRegistry,
   worker: Worker,
   { task, run, reason }: CellContact['refused'][number],
 ): void {
   const assignment = assignmentOf(worker, { task, run });
   if (assignment === undefined) return;
-  if (reason === 'ticket') book.orders.noteTicketRefused(assignment);
-  if (reason === 'room') worker.avoid(book.now() + ROOM_PAUSE_MS);
-  if (reason === 'unavailable') worker.avoid(book.now() + UNAVAILABLE_PAUSE_MS);
-  book.lose(worker, assignment, `refused: ${reason}`);
+  if (reason === 'ticket') registry.orders.noteTicketRefused(assignment);
+  if (reason === 'room') worker.avoid(registry.now() + NO_ROOM_BACKOFF_MS);
+  if (reason === 'unavailable') worker.avoid(registry.now() + UNAVAILABLE_BACKOFF_MS);
+  registry.markLost(worker, assignment, `start refused: ${reason}`);
 }
 
 /**
- * The runner is another one, it never said that it leaves, and its guard can't tell what was there as it was started anew
- * itself. What had begun there counts, with nothing known of its age: otherwise a guard that is lost with each crash would let a
- * task go on crashing runners.
+ * Handles a runner that was replaced without draining, and whose guard can't report what ran there because it was restarted
+ * itself. Every run that had started there is counted, with unknown age: otherwise a task could go on crashing runners if the
+ * guard is lost with each crash.
  */
-function noteUntoldCrash(
-  book: RunBook,
+function noteUnreportedCrash(
+  registry: RunRegistry,
   worker: Worker,
   { earlier, contact }: { earlier: RunnerFacts | undefined; contact: CellContact },
 ): void {
   const isOther = contact.runner !== undefined && contact.runner.id !== earlier?.id;
   if (earlier === undefined || !isOther || earlier.draining) return;
   if (contact.crash?.runner === earlier.id) return;
-  const begun = [...worker.assignments.values()].filter(
+  const startedRuns = [...worker.assignments.values()].filter(
     ({ runner, runningAt }) => runner === earlier.id && runningAt !== undefined,
   );
-  begun.forEach((assignment) => takeUpUntoldCrash(book, worker, assignment));
+  startedRuns.forEach((assignment) => recordUnreportedCrash(registry, worker, assignment));
 }
 
 /**
- * A new life of the runner runs nothing of the one before; without a lease nothing runs. What the new life tells of may run there
- * all the same: a start that was on its way reaches whichever life has the runner's id.
+ * Marks runs as lost that can't be running: those of an earlier life of the runner, and all if the lease has lapsed. A run of an
+ * earlier life that the new one reports may run there all the same: a start in flight reaches whichever life has the runner's id.
  */
-function loseWhatCannotRun(book: RunBook, worker: Worker, contact: CellContact): void {
+function markImpossibleRunsLost(registry: RunRegistry, worker: Worker, contact: CellContact): void {
   const { runner, running, inProgress } = contact;
   if (runner === undefined) return;
-  const isTold = (assignment: Assignment): boolean =>
+  const isReported = (assignment: Assignment): boolean =>
     [...running, ...inProgress].some((run) => assignmentOf(worker, run) === assignment);
   [...worker.assignments.values()].forEach((assignment) => {
-    // Nearly always all are of the present life, and nothing is looked up.
-    const isOver = assignment.runner !== runner.id && !isTold(assignment);
-    if (isOver) book.lose(worker, assignment, 'runner replaced');
-    else if (runner.leaseLapsed) book.lose(worker, assignment, 'lease lapsed');
+    // Nearly always all runs are of the present life, and nothing has to be searched.
+    const isOfEarlierLife = assignment.runner !== runner.id && !isReported(assignment);
+    if (isOfEarlierLife) registry.markLost(worker, assignment, 'runner replaced');
+    else if (runner.leaseLapsed) registry.markLost(worker, assignment, 'lease lapsed');
   });
 }
 
--- a/packages/cell/src/owner/ended-sweeper.ts
+++ b/packages/cell/src/owner/ended-job-sweeper.ts
@@ -1,45 +1,45 @@
-/** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would only grow. */
+/** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would grow without bound. */
 import type { ProcessContext } from '@zincspan/core';
 import { jobRowKey, type JobRowKind } from '../job/job-rows.js';
 import type { JobView, KnownJob } from '../job/job-view.js';
 import type { RowStore } from '../store/row-store.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 
-/** Pause between looks, in ms. */
-const SWEEP_EVERY_MS = 5000;
+/** Interval between sweeps, in ms. */
+const SWEEP_INTERVAL_MS = 5000;
 
-/** Jobs removed at a look: three rows each, and a transaction takes 100 entries. */
+/** Maximum number of jobs removed in a sweep: three rows each, and a transaction takes 100 entries. */
 const JOBS_PER_SWEEP = 20;
 
 const WRITE_TIMEOUT_MS = 1500;
 
 const ROW_KINDS: JobRowKind[] = ['submission', 'progress', 'cancellation'];
 
-/** What the sweeper works on. */
-export interface EndedSweeperOptions {
+/** Dependencies and settings of the sweeper. */
+export interface EndedJobSweeperOptions {
   ctx: ProcessContext;
   store: RowStore;
   view: JobView;
-  /** Version of the owner's row: only the owner removes. */
+  /** Version of the owner row: only the owner removes jobs. */
   ownerVersion: number;
-  /** Jobs are kept for this long after their end was first seen here, in ms. */
+  /** Jobs are kept for this long after this owner first saw their end, in ms. */
   keepEndedMs: number;
-  /** The rows of this job are gone. */
+  /** The rows of this job were removed. */
   onRemoved: (jobId: string) => void;
 }
 
-/** One term's sweeper. */
-export class EndedSweeper {
-  readonly #options: EndedSweeperOptions;
+/** Sweeps the jobs table during one term. */
+export class EndedJobSweeper {
+  readonly #options: EndedJobSweeperOptions;
 
-  /** When each ended job was first seen so, on the monotonic clock. */
-  readonly #seenAt = new Map<string, number>();
+  /** When the end of each job was first seen, on the monotonic clock. */
+  readonly #endSeenAt = new Map<string, number>();
 
   #timer: NodeJS.Timeout | undefined;
 
   #stopped = false;
 
-  constructor(options: EndedSweeperOptions) {
+  constructor(options: EndedJobSweeperOptions) {
     this.#options = options;
   }
 
@@ -48,7 +48,7 @@
       () => {
         void this.#sweep();
       },
-      Math.min(SWEEP_EVERY_MS, this.#options.keepEndedMs),
+      Math.min(SWEEP_INTERVAL_MS, this.#options.keepEndedMs),
     );
   }
 
@@ -59,23 +59,23 @@
 
   async #sweep(): Promise<void> {
     try {
-      const due = this.#due();
+      const due = this.#dueJobs();
       if (due.length > 0) await this.#remove(due);
     } catch (err) {
       this.#options.ctx.metrics.count('sweep.failed');
-      this.#options.ctx.log.error({ err }, 'removing ended jobs failed');
+      this.#options.ctx.log.error({ err }, 'could not remove ended jobs');
     }
     if (!this.#stopped) this.start();
   }
 
-  #due(): KnownJob[] {
+  #dueJobs(): KnownJob[] {
     const { view, ctx, keepEndedMs } = this.#options;
     const now = ctx.clock.now();
     return [...view.all()]
-      .filter(({ progress }) => isOver(progress))
+      .filter(({ progress }) => hasFullyEnded(progress))
       .filter(({ id }) => {
-        const seenAt = this.#seenAt.get(id) ?? now;
-        this.#seenAt.set(id, seenAt);
+        const seenAt = this.#endSeenAt.get(id) ?? now;
+        this.#endSeenAt.set(id, seenAt);
         return now - seenAt >= keepEndedMs;
       })
       .slice(0, JOBS_PER_SWEEP);
@@ -85,7 +85,7 @@
     const { store, ctx, ownerVersion } = this.#options;
     const result = await store.transact(
       {
-        expected: [{ ...OWNER_KEY, version: ownerVersion }],
+        expected: [{ ...OWNER_ROW_KEY, version: ownerVersion }],
         set: [],
         remove: jobs.flatMap(({ id }) => ROW_KINDS.map((kind) => jobRowKey(id, kind))),
       },
@@ -94,14 +94,14 @@
     ctx.metrics.count(`sweep.${result.outcome}`, jobs.length);
     if (result.outcome !== 'done') return;
     jobs.forEach(({ id }) => {
-      this.#seenAt.delete(id);
+      this.#endSeenAt.delete(id);
       this.#options.onRemoved(id);
     });
   }
 }
 
-/** Ended, and nothing of it can run any more. */
-function isOver(progress: KnownJob['progress']): boolean {
+/** True if the job has ended and no run of it may be active any more. */
+function hasFullyEnded(progress: KnownJob['progress']): boolean {
   if (progress === undefined || progress.outcome === 'open') return false;
   return progress.activeRuns().length === 0;
 }
--- a/packages/cell/src/owner/preemptor.ts
+++ b/packages/cell/src/owner/preemptor.ts
@@ -70,7 +70,10 @@
     return withoutPlaced(pending, this.#ledger.promise(pending.group));
   }
 
-  #mayPreempt({ madeRoomAt }: OwnedJob, { ageMs, objectiveMs }: Standing): boolean {
+  #mayPreempt(
+    { lastPreemptionAt: madeRoomAt }: OwnedJob,
+    { ageMs, objectiveMs }: Standing,
+  ): boolean {
     return this.#input.now - madeRoomAt >= PREEMPTION_INTERVAL_MS && ageMs <= objectiveMs;
   }
 
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Writes progress ahead of its effects. Changes of many jobs go into one transaction, on condition that the owner's row
- * is unchanged, that nobody else has changed the progress, and that the jobs weren't cancelled meanwhile.
+ * Writes the progress of jobs to the store before it takes effect. Changes of many jobs go into one transaction, on condition
+ * that the owner row is unchanged, that nobody else has changed the progress, and that the jobs weren't cancelled meanwhile.
  */
 import type { AcceptanceCall, AcceptanceResult, ProcessContext } from '@zincspan/core';
 import type { Evacuations } from '../evacuation/evacuations.js';
@@ -14,66 +14,66 @@
 } from '../store/row-store.js';
 import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
-import { OWNER_KEY } from './owner-row.js';
+import { OWNER_ROW_KEY } from './owner-row.js';
 import { pause } from '../clock/pause.js';
 
 /**
- * Jobs in one transaction: four entries each at most, beside the owner's row, its heartbeat and eighteen failure domains; the
- * store takes 100.
+ * Maximum number of jobs in one transaction: up to four entries each, besides the owner row, its heartbeat and eighteen failure
+ * domains; the store takes 100 entries.
  */
-const JOBS_PER_WRITE = 20;
+const MAX_JOBS_PER_WRITE = 20;
 
-/** And beside submissions: ten of those take 21 entries. */
-const JOBS_BESIDE_ACCEPTANCES = 14;
+/** The same in a transaction that also accepts submissions: ten of those take 21 entries. */
+const MAX_JOBS_WITH_ACCEPTANCES = 14;
 
-/** One write may take this long, in ms: several times a slow store's answer. */
+/** Time-out of a write, in ms: several times the response time of a slow store. */
 const WRITE_TIMEOUT_MS = 1500;
 
-/** Pause after a write that failed, in ms. */
-const RETRY_PAUSE_MS = 100;
+/** Delay after a failed write, in ms. */
+const RETRY_DELAY_MS = 100;
 
-/** What the writer's user is told. */
+/** Called on the results of writes. */
 export interface ProgressWriterEvents {
-  /** These jobs' changes so far are in the store. */
+  /** Changes of these jobs were written. */
   onDurable: (jobs: readonly OwnedJob[]) => void;
-  /** Rows of jobs that were accepted by a write: what starts of them may go with the next one. */
+  /** Rows of jobs that a write has accepted: starts of them may go into the next one. */
   onAccepted: (rows: readonly Row[]) => void;
   /** A job was cancelled before its change was written. */
   onCancelled: (job: OwnedJob) => void;
-  /** These failure domains were expected not to be evacuated; the rows that are there say what is so. */
+  /** A write that expected these failure domains not to be evacuated met a conflict; `rows` are the current ones. */
   onEvacuationConflict: (
     failureDomains: readonly string[],
     rows: readonly Row[],
     at: number,
   ) => void;
-  /** A job's rows are gone: it was over, and was removed. */
+  /** The job had ended, and its rows were removed from the store. */
   onRemoved: (job: OwnedJob) => void;
-  /** Another entry owns the cell, or the books of this term aren't what the store holds. */
-  onDeposed: (reason: string) => void;
+  /** Another entry owns the cell, or the state in memory doesn't match the store. */
+  onOwnershipLost: (reason: string) => void;
 }
 
-/** Sends a write that names the owner's row. */
-export type OwnerTransact = RowStore['transact'];
+/** Sends a write that expects the version of the owner row. */
+export type FencedTransact = RowStore['transact'];
 
-interface Pending {
+interface PendingProgress {
   job: OwnedJob;
   change: number;
   value: Buffer;
 }
 
-/** One write: progress of some jobs, the failure domains in which something starts by it, and submissions that go along. */
-interface Batch {
-  jobs: readonly Pending[];
-  startsIn: readonly string[];
+/** One write: progress of some jobs, the failure domains in which it starts runs, and submissions that it accepts. */
+interface WriteBatch {
+  jobs: readonly PendingProgress[];
+  startDomains: readonly string[];
   acceptances: readonly HandedAcceptance[];
   sentAt: number;
 }
 
-/** One writer for one term. */
+/** The only writer of progress during one term. */
 export class ProgressWriter {
   readonly #ctx: ProcessContext;
 
-  readonly #transact: OwnerTransact;
+  readonly #transact: FencedTransact;
 
   readonly #ownerVersion: number;
 
@@ -85,12 +85,12 @@
 
   readonly #events: ProgressWriterEvents;
 
-  readonly #dirty = new Set<OwnedJob>();
+  readonly #dirtyJobs = new Set<OwnedJob>();
 
-  /** Values of writes without an answer: any of them may be in the store. */
-  readonly #unanswered = new Map<OwnedJob, Buffer[]>();
+  /** Values of writes that got no answer: any of them may be in the store. */
+  readonly #unansweredWrites = new Map<OwnedJob, Buffer[]>();
 
-  #running = false;
+  #writing = false;
 
   #stopped = false;
 
@@ -103,10 +103,10 @@
     events,
   }: {
     ctx: ProcessContext;
-    transact: OwnerTransact;
+    transact: FencedTransact;
     ownerVersion: number;
     evacuations: Evacuations;
-    /** Where the operator's configuration stands. */
+    /** Row of the operator's configuration. */
     configKey: RowKey;
     events: ProgressWriterEvents;
   }) {
@@ -119,16 +119,16 @@
     this.#events = events;
   }
 
-  /** The job has changes to write. */
-  mark(job: OwnedJob): void {
-    this.#dirty.add(job);
-    this.#wake();
+  /** Schedules a write of the job's changes. */
+  markDirty(job: OwnedJob): void {
+    this.#dirtyJobs.add(job);
+    this.#scheduleWrite();
   }
 
-  /** Accepts a job with the next write. */
+  /** Accepts a job in the next write. */
   accept(call: AcceptanceCall): Promise<AcceptanceResult> {
     const result = this.#acceptances.add(call);
-    this.#wake();
+    this.#scheduleWrite();
     return result;
   }
 
@@ -138,77 +138,77 @@
   }
 
   get #hasWork(): boolean {
-    return !this.#stopped && (this.#dirty.size > 0 || !this.#acceptances.isEmpty);
+    return !this.#stopped && (this.#dirtyJobs.size > 0 || !this.#acceptances.isEmpty);
   }
 
-  #wake(): void {
-    if (this.#running || !this.#hasWork) return;
-    this.#running = true;
-    // Changes of the same turn go together.
+  #scheduleWrite(): void {
+    if (this.#writing || !this.#hasWork) return;
+    this.#writing = true;
+    // Changes of the same turn of the event loop share a write.
     setImmediate(() => {
-      void this.#run();
+      void this.#writeAll();
     });
   }
 
-  async #run(): Promise<void> {
+  async #writeAll(): Promise<void> {
     try {
-      while (this.#hasWork) await this.#write();
+      while (this.#hasWork) await this.#writeBatch();
     } catch (err) {
       this.#ctx.metrics.count('progress.write-failed');
-      this.#ctx.log.error({ err }, 'writing progress failed');
+      this.#ctx.log.error({ err }, 'could not write the progress of jobs');
     } finally {
-      this.#running = false;
+      this.#writing = false;
     }
-    if (this.#hasWork) setTimeout(() => this.#wake(), RETRY_PAUSE_MS);
+    if (this.#hasWork) setTimeout(() => this.#scheduleWrite(), RETRY_DELAY_MS);
   }
 
-  async #write(): Promise<void> {
+  async #writeBatch(): Promise<void> {
     const batch = this.#nextBatch();
-    const { jobs, startsIn, acceptances, sentAt } = batch;
+    const { jobs, startDomains, acceptances, sentAt } = batch;
     if (jobs.length === 0 && acceptances.length === 0) return;
-    const result = await this.#transact(this.#transaction(batch), {
+    const result = await this.#transact(this.#buildTransaction(batch), {
       timeoutMs: WRITE_TIMEOUT_MS,
     });
     this.#acceptances.settle(acceptances, result, this.#configKey);
     if (this.#stopped) return;
     this.#ctx.metrics.timing('progress.write', this.#ctx.clock.now() - sentAt);
     if (result.outcome === 'done') {
-      this.#evacuations.applyConfirmedWrite(startsIn, sentAt);
-      this.#noteWritten(jobs, () => result.version);
-      this.#noteAccepted(acceptances, result.version);
+      this.#evacuations.applyConfirmedWrite(startDomains, sentAt);
+      this.#markWritten(jobs, () => result.version);
+      this.#reportAccepted(acceptances, result.version);
     } else if (result.outcome === 'conflict') {
-      this.#noteConflict(batch, result.rows);
+      this.#resolveConflict(batch, result.rows);
     } else {
       this.#ctx.metrics.count(`progress.write-${result.outcome}`);
-      if (result.outcome === 'unknown') this.#noteUnanswered(jobs);
-      await pause(RETRY_PAUSE_MS);
+      if (result.outcome === 'unknown') this.#keepUnanswered(jobs);
+      await pause(RETRY_DELAY_MS);
     }
   }
 
-  #nextBatch(): Batch {
+  #nextBatch(): WriteBatch {
     const acceptances = this.#acceptances.take();
-    const mostJobs = acceptances.length > 0 ? JOBS_BESIDE_ACCEPTANCES : JOBS_PER_WRITE;
-    const jobs = [...this.#dirty].slice(0, mostJobs);
+    const maxJobs = acceptances.length > 0 ? MAX_JOBS_WITH_ACCEPTANCES : MAX_JOBS_PER_WRITE;
+    const jobs = [...this.#dirtyJobs].slice(0, maxJobs);
     return {
-      jobs: jobs.map((job) => ({ job, change: job.change, value: packProgress(job.progress) })),
-      startsIn: [...new Set(jobs.flatMap((job) => job.startsIn()))],
+      jobs: jobs.map((job) => ({ job, change: job.lastChange, value: packProgress(job.progress) })),
+      startDomains: [...new Set(jobs.flatMap((job) => job.pendingStartDomains()))],
       acceptances,
       sentAt: this.#ctx.clock.now(),
     };
   }
 
-  #noteUnanswered(batch: readonly Pending[]): void {
+  #keepUnanswered(batch: readonly PendingProgress[]): void {
     batch.forEach(({ job, value }) => {
-      const earlier = this.#unanswered.get(job) ?? [];
+      const earlier = this.#unansweredWrites.get(job) ?? [];
       if (earlier.some((each) => each.equals(value))) return;
-      this.#unanswered.set(job, [...earlier, value]);
+      this.#unansweredWrites.set(job, [...earlier, value]);
     });
   }
 
-  #transaction({ jobs, startsIn, acceptances }: Batch): Transaction {
+  #buildTransaction({ jobs, startDomains, acceptances }: WriteBatch): Transaction {
     const expected = jobs.flatMap(({ job }) => [
       { ...jobRowKey(job.id, 'progress'), version: job.progressVersion },
-      // A job whose rows were removed is over, whatever a feed that is behind tells of it.
+      // A job whose rows were removed has ended, even if a lagging feed still delivers it.
       ...(job.progressVersion > 0
         ? []
         : [{ ...jobRowKey(job.id, 'submission'), version: job.submissionVersion }]),
@@ -216,10 +216,10 @@
     ]);
     return {
       expected: [
-        { ...OWNER_KEY, version: this.#ownerVersion },
-        ...startsIn.map((failureDomain) => this.#evacuations.expectedAbsentRow(failureDomain)),
+        { ...OWNER_ROW_KEY, version: this.#ownerVersion },
+        ...startDomains.map((failureDomain) => this.#evacuations.expectedAbsentRow(failureDomain)),
         ...expected,
-        ...this.#expectedBy(acceptances),
+        ...this.#acceptancePreconditions(acceptances),
       ],
       set: [
         ...jobs.map(({ job, value }) => ({ ...jobRowKey(job.id, 'progress'), value })),
@@ -228,67 +228,71 @@
     };
   }
 
-  #noteAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
+  #reportAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
     if (acceptances.length === 0) return;
     this.#events.onAccepted(acceptances.map(({ key, value }) => ({ ...key, value, version })));
   }
 
-  /** As for one that an entry writes itself: the configuration that let it through, and no job of this id. */
-  #expectedBy([first, ...others]: readonly HandedAcceptance[]): Transaction['expected'] {
+  /** As where an entry writes a submission itself: the configuration that let it through, and no job with its id. */
+  #acceptancePreconditions([
+    first,
+    ...others
+  ]: readonly HandedAcceptance[]): Transaction['expected'] {
     if (first === undefined) return [];
     const config = { ...this.#configKey, version: first.configVersion };
     return [config, ...[first, ...others].map(({ key }) => ({ ...key, version: 0 }))];
   }
 
-  #noteWritten(batch: readonly Pending[], versionOf: (job: OwnedJob) => number): void {
+  #markWritten(batch: readonly PendingProgress[], versionOf: (job: OwnedJob) => number): void {
     batch.forEach(({ job, change }) => {
-      job.wrote(change, versionOf(job));
-      this.#unanswered.delete(job);
-      if (!job.isDirty) this.#dirty.delete(job);
+      job.markWritten(change, versionOf(job));
+      this.#unansweredWrites.delete(job);
+      if (!job.isDirty) this.#dirtyJobs.delete(job);
     });
     this.#events.onDurable(batch.map(({ job }) => job));
   }
 
   /**
-   * Nobody but the owner writes progress: a row with another version holds an earlier write of our own whose answer was
-   * lost, and the next write starts from there. If it holds anything else, the books are wrong and are read anew.
+   * Only the owner writes progress, so a row with another version holds an earlier write of this owner whose answer was lost,
+   * and the next write starts from it. If it holds anything else, the state in memory is wrong: the term ends, and the jobs
+   * are read again.
    */
-  #noteConflict({ jobs, startsIn, sentAt }: Batch, rows: readonly Row[]): void {
-    const owner = rows.find((row) => sameRow(row, OWNER_KEY));
+  #resolveConflict({ jobs, startDomains, sentAt }: WriteBatch, rows: readonly Row[]): void {
+    const owner = rows.find((row) => sameRow(row, OWNER_ROW_KEY));
     if (owner?.version !== this.#ownerVersion) {
-      this.#depose('a write found another owner');
+      this.#endOwnership('a write found that another entry owns the cell');
       return;
     }
     this.#ctx.metrics.count('progress.conflict');
-    if (startsIn.length > 0) this.#events.onEvacuationConflict(startsIn, rows, sentAt);
-    const written: Pending[] = [];
+    if (startDomains.length > 0) this.#events.onEvacuationConflict(startDomains, rows, sentAt);
+    const written: PendingProgress[] = [];
     for (const pending of jobs) {
       const { job, value } = pending;
       const rowOf = (kind: JobRowKind): Row | undefined =>
         rows.find((each) => sameRow(each, jobRowKey(job.id, kind)));
       const row = rowOf('progress');
       if (row !== undefined && row.version !== job.progressVersion) {
-        if (!this.#unanswered.get(job)?.some((own) => own.equals(row.value))) {
-          this.#depose(`progress of job ${job.id} is not what this owner wrote`);
+        if (!this.#unansweredWrites.get(job)?.some((own) => own.equals(row.value))) {
+          this.#endOwnership(`stored progress of job ${job.id} differs from what this owner wrote`);
           return;
         }
         job.progressVersion = row.version;
         if (row.value.equals(value)) written.push(pending);
       }
       if (job.progressVersion === 0 && rowOf('submission') === undefined) {
-        this.#dirty.delete(job);
-        this.#unanswered.delete(job);
+        this.#dirtyJobs.delete(job);
+        this.#unansweredWrites.delete(job);
         this.#events.onRemoved(job);
       } else if (!job.cancelled && rowOf('cancellation') !== undefined) {
-        job.noteCancelled();
+        job.markCancelled();
         this.#events.onCancelled(job);
       }
     }
-    this.#noteWritten(written, (job) => job.progressVersion);
+    this.#markWritten(written, (job) => job.progressVersion);
   }
 
-  #depose(reason: string): void {
+  #endOwnership(reason: string): void {
     this.stop();
-    this.#events.onDeposed(reason);
+    this.#events.onOwnershipLost(reason);
   }
 }
--- a/packages/cell/src/owner/run-book.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -1,4 +1,4 @@
-/** The owner's books of one term: jobs, workers, and every run that may exist. All changes of progress pass through it. */
+/** The owner's in-memory state of one term: jobs, workers, and every run that may exist. All changes of progress go through it. */
 import type { ProcessContext } from '@zincspan/core';
 import type { ApprovalCache } from '../advice/approval-cache.js';
 import { isSuspect } from '../job/crash-record.js';
@@ -15,27 +15,27 @@
 import { StartOrders } from './start-orders.js';
 import { expectedDurations, reservedDemand } from './urgency-factors.js';
 
-/** Checkpoints are written this often, in ms: a power failure of all machines costs what came since. */
-const KEEP_CHECKPOINTS_MS = 1500;
+/** Interval between writes of checkpoints to the store, in ms: a power failure of all machines loses the work since. */
+const CHECKPOINT_WRITE_INTERVAL_MS = 1500;
 
-/** What the book's user does about a change. */
-export interface RunBookEvents {
-  /** Progress changed and has to be written. */
-  onChanged: (job: OwnedJob) => void;
-  /** The guard of this VM should hear of it at once. */
-  onNews: (vm: string) => void;
+/** Called on changes of the registry. */
+export interface RunRegistryEvents {
+  /** The job's progress has changed and has to be written. */
+  onProgressChanged: (job: OwnedJob) => void;
+  /** The guard on this VM should fetch its orders at once. */
+  onOrdersChanged: (vm: string) => void;
 }
 
-/** Jobs and runs of one term. */
-export class RunBook {
+/** Jobs, workers and runs of one term. */
+export class RunRegistry {
   readonly jobs = new Map<string, OwnedJob>();
 
-  /** Jobs that this term has ended and forgotten, until their rows are removed. */
-  readonly ended = new Set<string>();
+  /** Jobs that ended in this term and are no longer in `jobs`, until their rows are removed. */
+  readonly endedJobs = new Set<string>();
 
   readonly fleet: Fleet;
 
-  /** What guards may be told to start. */
+  /** Decides which starts guards may be ordered. */
   readonly orders: StartOrders;
 
   readonly #ctx: ProcessContext;
@@ -44,11 +44,11 @@
 
   readonly #health: FleetHealth;
 
-  readonly #events: RunBookEvents;
+  readonly #events: RunRegistryEvents;
 
   readonly #stopper: RunStopper;
 
-  #checkpointsKeptAt = -Infinity;
+  #checkpointsWrittenAt = -Infinity;
 
   constructor({
     ctx,
@@ -61,7 +61,7 @@
     fleet: Fleet;
     advice: ApprovalCache;
     durations: DurationBook;
-    events: RunBookEvents;
+    events: RunRegistryEvents;
   }) {
     this.#ctx = ctx;
     this.fleet = fleet;
@@ -77,8 +77,8 @@
     this.#stopper = new RunStopper({
       fleet,
       onStop: ({ name, run }, vm, reason) => {
-        this.log('run to be stopped', { task: name, run, reason });
-        events.onNews(vm);
+        this.log('stopping run', { task: name, run, reason });
+        events.onOrdersChanged(vm);
       },
     });
   }
@@ -87,7 +87,7 @@
     return this.#ctx.clock.now();
   }
 
-  /** Counts something that has come to pass. */
+  /** Increments a counter of the metrics. */
   count(name: string): void {
     this.#ctx.metrics.count(name);
   }
@@ -96,27 +96,27 @@
     this.#ctx.log.info(fields, msg);
   }
 
-  /** Takes a job in, with the runs that an earlier owner wrote down. */
-  add(job: OwnedJob): void {
+  /** Adds a job, with the active runs that an earlier owner has written. */
+  addJob(job: OwnedJob): void {
     this.jobs.set(job.id, job);
     job.progress
       .activeRuns()
       .forEach(({ ref, active }) => this.#assign(job, { ref, ...active, change: 0 }));
-    if (job.cancelled) this.cancel(job);
+    if (job.cancelled) this.cancelJob(job);
   }
 
   /** Opens occurrences that are due. */
-  openDue(wallMs: number): void {
+  openDueOccurrences(wallMs: number): void {
     this.jobs.forEach((job) => {
-      if (job.progress.openDue(wallMs)) this.#changed(job);
+      if (job.progress.openDue(wallMs)) this.#recordChange(job);
     });
   }
 
-  /** Writes runs down for what a pass has placed. */
-  start({ pending: wanted, placements: placed }: PlannedStart): void {
+  /** Creates and assigns runs for the tasks that a pass has placed. */
+  assignRuns({ pending: wanted, placements: placed }: PlannedStart): void {
     const { job, group } = wanted;
     const { occurrence, step } = group;
-    // Single tasks have run numbers of their own.
+    // Tasks outside a gang have a run number each.
     const sets = group.gang ? [placed] : placed.map((each) => [each]);
     sets.forEach((set) => {
       const runs = set.map(({ index, vm }) => ({
@@ -125,11 +125,11 @@
         runner: this.fleet.get(vm).runner?.id ?? '',
       }));
       const run = job.progress.startRuns(runs);
-      const change = this.#changed(job);
+      const change = this.#recordChange(job);
       runs.forEach(({ ref, vm, runner }) => {
         const checkpoint = job.progress.findTask(ref)?.active?.checkpoint ?? '';
         this.#assign(job, { ref, run, vm, runner, checkpoint, change });
-        job.noteStart(this.fleet.get(vm).runner?.failureDomain ?? '', change);
+        job.addPendingStart(this.fleet.get(vm).runner?.failureDomain ?? '', change);
       });
       this.log('run assigned', {
         job: job.id,
@@ -142,16 +142,16 @@
     });
   }
 
-  /** Notes a run's end; answers the number of the change, undefined if it changed nothing. */
-  end(jobId: string, end: RunEnd): number | undefined {
+  /** Records a run's end. Returns the number of the job's change that contains it; undefined if the job isn't known. */
+  recordEnd(jobId: string, end: RunEnd): number | undefined {
     const job = this.jobs.get(jobId);
     if (job === undefined) return undefined;
     const { maxAttempts } = job.terms;
     if (!job.progress.endRun(end, { maxAttempts })) {
-      // It was taken up before, perhaps by a change that isn't durable yet.
-      return job.change;
+      // It was recorded before, perhaps by a change that isn't durable yet.
+      return job.lastChange;
     }
-    const change = this.#changed(job);
+    const change = this.#recordChange(job);
     this.#ctx.metrics.count(`run.${end.how}`);
     this.log('run ended', {
       task: taskName(jobId, end.ref),
@@ -165,10 +165,10 @@
     return change;
   }
 
-  /** Counts a runner's crash against one run's task. False if that says nothing new. */
-  noteCrash(job: OwnedJob, crash: RunCrash): boolean {
+  /** Counts a runner's crash against one run's task. False if that changes nothing. */
+  recordCrash(job: OwnedJob, crash: RunCrash): boolean {
     if (!job.progress.noteCrash(crash)) return false;
-    this.#changed(job);
+    this.#recordChange(job);
     this.#ctx.metrics.count('run.crashed');
     if (job.progress.outcome !== 'open') {
       this.#ctx.metrics.count('job.given-up');
@@ -177,95 +177,95 @@
     return true;
   }
 
-  /** The step that a run is of; undefined for one that isn't known. */
+  /** Step of a run; undefined if the run or its job isn't known. */
   stepOf(assignment: Assignment | undefined): Step | undefined {
     if (assignment === undefined) return undefined;
     return this.jobs.get(assignment.jobId)?.submission.steps[assignment.ref.step];
   }
 
-  /** How long a task of this step is expected to take, in ms. */
-  expectedMs(job: OwnedJob, step: Step): number {
+  /** Expected duration of a task of this step, in ms. */
+  expectedTaskMs(job: OwnedJob, step: Step): number {
     return expectedDurations(job, this.#durations)(step);
   }
 
-  /** What a run's end says of its worker. */
-  noteHealth(worker: Worker, assignment: Assignment, how: RunEnd['how']): void {
+  /** Updates the worker's health and the expected durations by a run's end. */
+  recordRunHealth(worker: Worker, assignment: Assignment, how: RunEnd['how']): void {
     const { name, jobId, ref } = assignment;
     const job = this.jobs.get(jobId);
     if (how === 'done') {
       worker.health.noteDone();
-      if (job !== undefined) this.#noteDuration(job, assignment);
+      if (job !== undefined) this.#recordDuration(job, assignment);
     }
     if (how !== 'failed') return;
-    job?.avoid(ref, worker.vm, this.now());
-    this.noteFault(worker, name, 'a run failed');
+    job?.avoidWorker(ref, worker.vm, this.now());
+    this.recordFault(worker, name, 'run failed');
   }
 
-  /** Something went wrong on a worker that may be its fault. */
-  noteFault(worker: Worker, task: string, what: string): void {
+  /** Records a fault that the worker may have caused. */
+  recordFault(worker: Worker, task: string, what: string): void {
     if (!this.#health.noteFault(worker.health, task, this.now())) return;
     this.#ctx.metrics.count('worker.closed');
-    this.log('worker closed', { vm: worker.vm, what, task });
+    this.log('worker closed to new runs', { vm: worker.vm, what, task });
   }
 
-  /** Writes checkpoints down that were heard of, so that they outlast this owner and the runners. */
-  keepCheckpoints(): void {
-    if (this.now() - this.#checkpointsKeptAt < KEEP_CHECKPOINTS_MS) return;
-    this.#checkpointsKeptAt = this.now();
+  /** Has checkpoints that guards reported written, so that they survive this owner and the runners. */
+  persistCheckpoints(): void {
+    if (this.now() - this.#checkpointsWrittenAt < CHECKPOINT_WRITE_INTERVAL_MS) return;
+    this.#checkpointsWrittenAt = this.now();
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId, ref, run, checkpoint }) => {
         const job = this.jobs.get(jobId);
-        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#changed(job);
+        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#recordChange(job);
       }),
     );
   }
 
-  /** A run that surely doesn't run any more, or never did, although no end of it was listed. */
-  lose(worker: Worker, assignment: Assignment, reason: string): void {
+  /** Ends a run as lost that certainly isn't running any more, or never was, although no end of it was reported. */
+  markLost(worker: Worker, assignment: Assignment, reason: string): void {
     worker.assignments.delete(assignment.name);
     const { jobId, ref, run, checkpoint } = assignment;
     this.#ctx.metrics.count('run.lost');
-    this.log('run given up', {
+    this.log('run lost', {
       task: assignment.name,
       run,
       vm: worker.vm,
       reason,
-      ...this.#describeTime(assignment),
+      ...this.#describeTiming(assignment),
     });
-    this.end(jobId, { ref, run, how: 'lost', checkpoint });
+    this.recordEnd(jobId, { ref, run, how: 'lost', checkpoint });
   }
 
-  /** Loses all runs on workers whose leases have surely ended. */
-  loseUnreachable(): void {
+  /** Ends all runs as lost on workers whose leases have certainly expired. */
+  markUnreachableLost(): void {
     this.fleet.withExpiredLeases().forEach((worker) => {
       const silentMs = Math.round(this.now() - worker.contactAt);
       [...worker.assignments.values()].forEach((assignment) =>
-        this.lose(worker, assignment, `no contact for ${silentMs} ms`),
+        this.markLost(worker, assignment, `no contact for ${silentMs} ms`),
       );
     });
   }
 
-  /** The job was cancelled by its caller. */
-  cancel(job: OwnedJob): void {
-    job.noteCancelled();
+  /** Cancels a job for its caller. */
+  cancelJob(job: OwnedJob): void {
+    job.markCancelled();
     if (!job.progress.cancel()) return;
     this.log('job cancelled', { job: job.id });
-    this.#changed(job);
+    this.#recordChange(job);
     this.#stopper.stopJob(job, 'cancelled');
   }
 
-  /** Asks for the end of a run, and of the rest of its gang. */
-  stop(assignment: Assignment, reason: string): void {
+  /** Requests the stop of a run, and of the rest of its gang. */
+  stopRun(assignment: Assignment, reason: string): void {
     const job = this.jobs.get(assignment.jobId);
     if (job !== undefined) this.#stopper.stop(job, assignment, reason);
   }
 
-  /** All that was given out of this job and isn't known to be over. */
+  /** Runs of this job that were assigned and aren't known to have ended. */
   assignmentsOf(jobId: string): Assignment[] {
     return this.#stopper.assignmentsOf(jobId);
   }
 
-  /** Highest end that may be confirmed to the runner. */
+  /** Highest number of an end that may be confirmed to the runner. */
   confirmEnds(worker: Worker): number {
     return worker.confirmEnds(({ jobId, change }) => {
       const job = this.jobs.get(jobId);
@@ -273,8 +273,8 @@
     });
   }
 
-  /** Forgets jobs that are over and written, and of which nothing is left on a worker. */
-  forgetEnded(): void {
+  /** Drops jobs that have ended and are written, and that have no run left on a worker. */
+  dropEndedJobs(): void {
     const busy = new Set<string>();
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId }) => busy.add(jobId)),
@@ -282,7 +282,7 @@
     this.jobs.forEach((job, id) => {
       if (job.progress.outcome === 'open' || job.isDirty || busy.has(id)) return;
       this.jobs.delete(id);
-      this.ended.add(id);
+      this.endedJobs.add(id);
     });
   }
 
@@ -323,25 +323,25 @@
     });
   }
 
-  /** How long ago a run was assigned and first listed, in ms, and how far it had come. */
-  #describeTime({ assignedAt, runningAt, percent }: Assignment): object {
+  /** How long ago a run was assigned and first reported running, in ms, and how much of it was done. */
+  #describeTiming({ assignedAt, runningAt, percent }: Assignment): object {
     const assignedMs = Math.round(this.now() - assignedAt);
     if (runningAt === undefined) return { assignedMs };
     return { assignedMs, runningMs: Math.round(this.now() - runningAt), percent };
   }
 
-  #noteDuration(job: OwnedJob, { ref, runningAt, resumed }: Assignment): void {
+  #recordDuration(job: OwnedJob, { ref, runningAt, resumed }: Assignment): void {
     const step = job.submission.steps[ref.step];
     if (step === undefined || step.lasting || runningAt === undefined || resumed) return;
     const { estimateMs } = step;
     const actualMs = this.now() - runningAt;
     this.#durations.noteRun(job.submission.queue, { estimateMs, actualMs });
-    job.noteTook(step, actualMs);
+    job.noteTaskDuration(step, actualMs);
   }
 
-  #changed(job: OwnedJob): number {
-    const change = job.changed();
-    this.#events.onChanged(job);
+  #recordChange(job: OwnedJob): number {
+    const change = job.addChange();
+    this.#events.onProgressChanged(job);
     return change;
   }
 }
--- a/packages/cell/src/owner/running-units.ts
+++ b/packages/cell/src/owner/running-units.ts
@@ -3,7 +3,7 @@
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { RunningUnit } from './placement-types.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 import { isSameStep } from './run-stopper.js';
 import { acceleratorEquivalents } from './urgency-factors.js';
 
@@ -23,7 +23,7 @@
 
 /** Units of all workers. Those of guaranteed jobs are protected from preemption. */
 export function findRunningUnits(
-  book: RunBook,
+  book: RunRegistry,
   guaranteedJobs: ReadonlySet<OwnedJob>,
 ): RunningUnit[] {
   const units = new Map<string, UnitInProgress>();
@@ -53,7 +53,7 @@
  * Whether a long-running task may be preempted: the scheduler may keep at most `mayMiss` tasks of its step from running. Only the
  * first running tasks of the step qualify, so that one pass never preempts more than that.
  */
-function isPreemptible(book: RunBook, job: OwnedJob, { ref }: Assignment): boolean {
+function isPreemptible(book: RunRegistry, job: OwnedJob, { ref }: Assignment): boolean {
   const step = job.submission.steps[ref.step];
   if (!step?.lasting || step.mayMiss === 0) return true;
   const running = book
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -12,7 +12,7 @@
 import { OwnedJob } from './owned-job.js';
 import type { ReclaimBounds } from './placement-types.js';
 import { planPlacement } from './placement-pass.js';
-import { RunBook, type RunBookEvents } from './run-book.js';
+import { RunRegistry, type RunRegistryEvents } from './run-registry.js';
 import { stopRunsBeforeDrainEnds, stopStalledRuns } from './run-watchdog.js';
 import { WaitingReport } from './waiting-report.js';
 import {
@@ -39,12 +39,12 @@
   reclaim: ReclaimBounds;
   evacuations: Evacuations;
   config: () => CellConfig | undefined;
-  events: RunBookEvents;
+  events: RunRegistryEvents;
 }
 
 /** Jobs, workers and what has been learned about both, for one ownership term. */
 export class Scheduler {
-  readonly book: RunBook;
+  readonly book: RunRegistry;
 
   readonly approvals = new ApprovalCache();
 
@@ -62,7 +62,7 @@
     this.#options = options;
     const { ctx, leaseMs, previousOwnerGrantMs, evacuations, events } = options;
     this.#startedAt = ctx.clock.now();
-    this.book = new RunBook({
+    this.book = new RunRegistry({
       ctx,
       advice: this.approvals,
       durations: this.#durations,
@@ -85,7 +85,7 @@
     );
     const expectedMs = expectedDurations(job, this.#durations);
     this.#queueMeans.record(submission.queue, totalWork(submission.steps, expectedMs));
-    this.book.add(job);
+    this.book.addJob(job);
     if (job.progress.begun) return;
     const { account, queue, acceptedAtMs, steps } = submission;
     this.book.log('job added to scheduler', {
@@ -106,19 +106,19 @@
 
   /** Runs one scheduling pass. Returns the requests to the placement advisor, the most urgent first. */
   runPass(): ApprovalRequest[] {
-    this.book.loseUnreachable();
+    this.book.markUnreachableLost();
     stopStalledRuns(this.book);
     stopRunsBeforeDrainEnds(this.book);
     // Repeated in each pass for workers that were out of contact at the evacuation, such as after a change of owner.
     this.#options.evacuations.evacuatedDomains.forEach((failureDomain) =>
       withdrawPendingStarts(this.book, failureDomain),
     );
-    this.book.keepCheckpoints();
-    this.book.openDue(this.#options.ctx.clock.wall());
+    this.book.persistCheckpoints();
+    this.book.openDueOccurrences(this.#options.ctx.clock.wall());
     this.#refreshQueueTerms();
     const requests = this.#runPlacement();
     this.#waitingReport.logIfDue(this.book);
-    this.book.forgetEnded();
+    this.book.dropEndedJobs();
     this.approvals.retainJobs((jobId) => this.book.jobs.has(jobId));
     return requests;
   }
@@ -131,7 +131,7 @@
       this.book.log('failure domain reopened', { failureDomain, version, knownForMs });
       return;
     }
-    this.book.jobs.forEach((job) => job.forgetStarts(failureDomain));
+    this.book.jobs.forEach((job) => job.dropPendingStarts(failureDomain));
     const runs = withdrawPendingStarts(this.book, failureDomain);
     this.book.log('failure domain evacuated', { failureDomain, version, knownForMs, ...runs });
   }
@@ -140,7 +140,7 @@
     const queues = new Map(this.#options.config()?.queues.map((queue) => [queue.name, queue]));
     this.book.jobs.forEach((job) => {
       const queue = queues.get(job.submission.queue);
-      if (queue !== undefined) job.noteTerms(queue);
+      if (queue !== undefined) job.setTerms(queue);
     });
   }
 
@@ -165,11 +165,11 @@
       approvals: this.approvals,
       allWorkersKnown: this.book.now() - this.#startedAt >= WORKER_DISCOVERY_MS,
     });
-    starts.forEach((start) => this.book.start(start));
+    starts.forEach((start) => this.book.assignRuns(start));
     preemptions.forEach(({ unit, forJob }) => {
       const [first] = unit.assignments;
-      if (first !== undefined) this.book.stop(first, `preempted for ${forJob.id}`);
-      forJob.noteRoomMade(this.book.now());
+      if (first !== undefined) this.book.stopRun(first, `preempted for ${forJob.id}`);
+      forJob.notePreemption(this.book.now());
     });
     return approvalRequests;
   }
--- a/packages/cell/src/owner/unaccounted-runs.ts
+++ b/packages/cell/src/owner/unaccounted-runs.ts
@@ -4,14 +4,14 @@
  * the log.
  */
 import type { Assignment, Worker } from '../worker/worker.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 
 /** Runs unaccounted for this long are logged: a write takes less, even on a slow store. */
 const LOG_AFTER_MS = 2000;
 
 /** Called after a contact. All of the worker's runs that are not in `unaccounted` are accounted for. */
 export function trackUnaccountedRuns(
-  book: RunBook,
+  book: RunRegistry,
   worker: Worker,
   unaccounted: readonly Assignment[],
 ): void {
@@ -31,7 +31,7 @@
 }
 
 function logUnaccounted(
-  book: RunBook,
+  book: RunRegistry,
   { vm }: Worker,
   { name, run, runner, jobId }: Assignment,
 ): void {
--- a/packages/cell/src/owner/urgency-factors.steps.ts
+++ b/packages/cell/src/owner/urgency-factors.steps.ts
@@ -47,7 +47,7 @@
 When('one of them took {int} s', function (this: UrgencyFactorsSteps, seconds: number) {
   const [step] = this.job.submission.steps;
   assert.ok(step);
-  this.job.noteTook(step, seconds * 1000);
+  this.job.noteTaskDuration(step, seconds * 1000);
 });
 
 When('a run of one of its tasks failed', function (this: UrgencyFactorsSteps) {
--- a/packages/cell/src/owner/urgency-factors.ts
+++ b/packages/cell/src/owner/urgency-factors.ts
@@ -36,7 +36,8 @@
  * corrected by the durations of the queue's tasks, as estimates may be off by a factor of three.
  */
 export function expectedDurations(job: OwnedJob, durations: DurationBook): (step: Step) => number {
-  return (step) => job.tookMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
+  return (step) =>
+    job.lastTaskMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
 }
 
 /** Most accelerators that an unhindered job uses at once: those of its widest step. */
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -1,7 +1,7 @@
 /** Logs why groups wait: the state of the workers as the owner knows it, next to what the groups need. */
 import type { Worker } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
-import type { RunBook } from './run-book.js';
+import type { RunRegistry } from './run-registry.js';
 
 /** Groups that have waited for less are not logged: on a busy service most wait a while. */
 const MIN_WAIT_MS = 5000;
@@ -24,7 +24,7 @@
   #reportedAt = -Infinity;
 
   /** Called after each pass; logs the steps that were ready before it and still wait, once per interval. */
-  logIfDue(book: RunBook): void {
+  logIfDue(book: RunRegistry): void {
     const now = book.now();
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
     this.#reportedAt = now;
@@ -68,7 +68,7 @@
 }
 
 /** How many workers are usable, why the others are not, and how the owner accounts for the accelerators of the usable ones. */
-function describeWorkers(book: RunBook): object {
+function describeWorkers(book: RunRegistry): object {
   const workers = [...book.fleet.all()];
   const usable = workers.filter((worker) => book.fleet.isSchedulable(worker));
   const sum = (of: (worker: Worker) => number): number =>
