--- a/packages/bench/src/cell/simulated-worker.ts
+++ b/packages/bench/src/cell/simulated-worker.ts
@@ -1,5 +1,5 @@
 /** A worker with its runner and guard in virtual time: speeds, failures, checkpoints, gangs that begin and end together. */
-import type { Demand, EndKind } from '@zincspan/cell';
+import type { Demand, RunEndKind } from '@zincspan/cell';
 import type { CellContact, StartOrder } from '@zincspan/core';
 import { SIMULATED_SERVICE, type DrawnJob } from './cell-load.js';
 
@@ -90,7 +90,7 @@
     return due;
   }
 
-  end(run: SimulatedRun, how: EndKind): void {
+  end(run: SimulatedRun, how: RunEndKind): void {
     this.runs.delete(run.task);
     this.#stopping.delete(run);
     this.#ended += 1;
--- a/packages/cell/src/advice/advice.steps.ts
+++ b/packages/cell/src/advice/advice.steps.ts
@@ -3,11 +3,16 @@
 import { AdvisorModel } from '@zincspan/stand-ins';
 import { pause } from '../clock/pause.js';
 import type { Step } from '../job/submission.js';
-import { CellWorld, eventually, submit, loseEntryAtWrite } from '../testing/cell-world.support.js';
+import {
+  TestCell,
+  eventually,
+  submitJob,
+  crashEntryAtProgressWrite,
+} from '../testing/test-cell.support.js';
 import { TEST_QUEUE, testStep } from '../testing/test-jobs.support.js';
 
 interface AdviceSteps {
-  cell?: CellWorld;
+  cell?: TestCell;
   advisor: AdvisorModel;
   job: string;
 }
@@ -15,12 +20,12 @@
 /** Short, so that tickets run out within a scenario. */
 const VALID_MS = 1200;
 
-function cellOf({ cell }: AdviceSteps): CellWorld {
+function cellOf({ cell }: AdviceSteps): TestCell {
   assert.ok(cell);
   return cell;
 }
 
-function entryOf(world: AdviceSteps): CellWorld['entries'][number] {
+function entryOf(world: AdviceSteps): TestCell['entries'][number] {
   const cell = cellOf(world);
   const owner = cell.owner();
   const entry = cell.entries.find((each) => each !== owner);
@@ -31,7 +36,7 @@
 async function handIn(world: AdviceSteps, step: Partial<Step>, spec: object): Promise<void> {
   const id = cellOf(world).newJobId();
   Object.assign(world, { job: id });
-  assert.equal(await submit(entryOf(world), id, { steps: [testStep(step)], spec }), 'accepted');
+  assert.equal(await submitJob(entryOf(world), id, { steps: [testStep(step)], spec }), 'accepted');
 }
 
 Given(
@@ -42,7 +47,7 @@
       approves: (runner) => approved.some((vm) => runner.startsWith(vm)),
       validMs: VALID_MS,
     });
-    this.cell = new CellWorld();
+    this.cell = new TestCell();
     this.cell.advisor = this.advisor;
     await this.cell.start(2, 3);
     this.cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
@@ -63,7 +68,7 @@
 Given('the owner is lost the moment it writes a run down', function (this: AdviceSteps) {
   const owner = cellOf(this).owner();
   assert.ok(owner);
-  loseEntryAtWrite(owner);
+  crashEntryAtProgressWrite(owner);
 });
 
 When(
@@ -86,7 +91,8 @@
 });
 
 Then('it has completed within {int} s', async function (this: AdviceSteps, seconds: number) {
-  const isDone = async (): Promise<boolean> => (await cellOf(this).state(this.job)) === 'completed';
+  const isDone = async (): Promise<boolean> =>
+    (await cellOf(this).jobState(this.job)) === 'completed';
   assert.ok(await eventually(isDone, seconds * 1000));
 });
 
--- a/packages/cell/src/entry/config-order.steps.ts
+++ b/packages/cell/src/entry/config-order.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import { cellOf, otherEntry, type CellSteps, type Entry } from '../owner/cell-steps.support.js';
-import { HOST, KEY, TEST_QUEUE } from '../testing/test-jobs.support.js';
+import { TEST_HOST, TEST_API_KEY, TEST_QUEUE } from '../testing/test-jobs.support.js';
 
 interface OrderSteps extends CellSteps {
   entry: Entry;
@@ -18,7 +18,7 @@
 
 /** True if the entry knew the queue. */
 async function isServed({ entry }: OrderSteps, prefix: string): Promise<boolean> {
-  const call = { host: HOST, path: `${prefix}${JOB}`, key: KEY };
+  const call = { host: TEST_HOST, path: `${prefix}${JOB}`, key: TEST_API_KEY };
   const { outcome } = await entry.app.calls.state(call);
   return outcome !== 'no-such-queue' && outcome !== 'not-ready';
 }
--- a/packages/cell/src/entry/entry-load.steps.ts
+++ b/packages/cell/src/entry/entry-load.steps.ts
@@ -11,8 +11,8 @@
   type CellSteps,
   type Entry,
 } from '../owner/cell-steps.support.js';
-import { CellWorld, callOf, eventually } from '../testing/cell-world.support.js';
-import { PREFIX } from '../testing/test-jobs.support.js';
+import { TestCell, jobCall, eventually } from '../testing/test-cell.support.js';
+import { TEST_PATH_PREFIX } from '../testing/test-jobs.support.js';
 
 /** Links beside the owner's that each entry keeps. */
 const NEIGHBOURS = 2;
@@ -68,12 +68,12 @@
 }
 
 async function stateAt(entry: Entry, world: CellSteps): Promise<string> {
-  const result = await entry.app.calls.state(callOf(jobOf(world)));
+  const result = await entry.app.calls.state(jobCall(jobOf(world)));
   return result.outcome === 'state' ? result.state : result.outcome;
 }
 
 async function waitingAt(entry: Entry): Promise<number | string> {
-  const result = await entry.app.calls.waiting({ ...callOf(''), path: PREFIX });
+  const result = await entry.app.calls.waiting({ ...jobCall(''), path: TEST_PATH_PREFIX });
   return result.outcome === 'waiting' ? result.count : result.outcome;
 }
 
@@ -86,7 +86,7 @@
 Given(
   'a cell of 5 entries, the last two of which have more of a processor, and 1 worker',
   async function (this: CellSteps) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.cell = cell;
     this.jobs = [];
     await cell.start(3, 1);
@@ -109,14 +109,14 @@
   async function (this: CellSteps, count: number) {
     await handInAtOwner(this, count);
     const areOver = (): boolean =>
-      this.jobs.every((id) => cellOf(this).writtenProgress(id)?.outcome === 'completed');
+      this.jobs.every((id) => cellOf(this).storedProgress(id)?.outcome === 'completed');
     assert.ok(await eventually(areOver));
   },
 );
 
 When('a job is handed in at the owner and completes', async function (this: CellSteps) {
   await handInAtOwner(this, 1);
-  const isOver = (): boolean => cellOf(this).writtenProgress(jobOf(this))?.outcome === 'completed';
+  const isOver = (): boolean => cellOf(this).storedProgress(jobOf(this))?.outcome === 'completed';
   assert.ok(await eventually(isOver));
 });
 
@@ -200,7 +200,7 @@
 Given(
   'a cell that starts with 4 entries, the last of which has more of a processor',
   async function (this: CellSteps) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.cell = cell;
     this.jobs = [];
     cell.configure();
--- a/packages/cell/src/entry/job-calls.ts
+++ b/packages/cell/src/entry/job-calls.ts
@@ -3,7 +3,7 @@
 import type * as z from 'zod';
 import type { ConfigWatch } from '../config/config-watch.js';
 import { jobState } from '../job/job-view.js';
-import { graphFault, jobRequestSchema, type JobRequest } from '../job/submission.js';
+import { findGraphError, jobRequestSchema, type JobRequest } from '../job/submission.js';
 import type { Row } from '../store/row-store.js';
 import type { WatchedStore } from '../store/watched-store.js';
 import { Acceptance, outcomeUnknown, storeAway } from './acceptance.js';
@@ -191,7 +191,7 @@
     if (jobs.known(id) !== undefined) return { outcome: 'accepted', again: true };
     const decoded = decode();
     if ('fault' in decoded) return badInput(decoded.fault);
-    const fault = graphFault(decoded.job.steps);
+    const fault = findGraphError(decoded.job.steps);
     if (fault !== undefined) return badInput(fault);
     if (admitted.queue.needsAdvice && !canAskAdvice) return adviceMissing(admitted.queue.name);
     const { ageMs } = config;
--- a/packages/cell/src/entry/job-lookup.ts
+++ b/packages/cell/src/entry/job-lookup.ts
@@ -6,7 +6,7 @@
 import { LRUCache } from 'lru-cache';
 import type { ProcessContext } from '@zincspan/core';
 import { jobRowKey } from '../job/job-rows.js';
-import { JobView, type KnownJob } from '../job/job-view.js';
+import { JobView, type JobSnapshot } from '../job/job-view.js';
 import type { Row, RowStore } from '../store/row-store.js';
 
 /** Jobs kept, so that only what changes is read again: a caller asks about its job until that has ended. */
@@ -16,7 +16,7 @@
 const KEPT_MS = 60_000;
 
 /** A look-up that the store didn't answer in time is `unknown`. */
-export type FindResult = KnownJob | 'absent' | 'unknown';
+export type FindResult = JobSnapshot | 'absent' | 'unknown';
 
 /** Reads jobs one by one. */
 export class JobLookup {
@@ -35,13 +35,13 @@
       updateAgeOnGet: true,
       perf: { now: () => ctx.clock.now() },
       dispose: (_, id, reason) => {
-        if (reason !== 'set') this.#view.forget(id);
+        if (reason !== 'set') this.#view.remove(id);
       },
     });
   }
 
   /** As it was when it was last read or written here; undefined if it wasn't lately. */
-  known(id: string): KnownJob | undefined {
+  known(id: string): JobSnapshot | undefined {
     return this.#kept.get(id) === undefined ? undefined : this.#view.get(id);
   }
 
@@ -68,7 +68,7 @@
 }
 
 /** The submission never changes: it is read once. */
-function rangeOf(id: string, known: KnownJob | undefined): Parameters<RowStore['read']>[0] {
+function rangeOf(id: string, known: JobSnapshot | undefined): Parameters<RowStore['read']>[0] {
   const { table, part, key: from } = jobRowKey(id, 'cancellation');
   if (known === undefined) return { table, part, from: `${id}/`, to: `${id}0` };
   return { table, part, from, to: `${jobRowKey(id, 'progress').key}\u0000` };
--- a/packages/cell/src/entry/slow-store.steps.ts
+++ b/packages/cell/src/entry/slow-store.steps.ts
@@ -11,7 +11,7 @@
   type CellSteps,
 } from '../owner/cell-steps.support.js';
 import { OWNER_KEY } from '../owner/owner-row.js';
-import { loseEntry, submit } from '../testing/cell-world.support.js';
+import { crashEntry, submitJob } from '../testing/test-cell.support.js';
 import { sameRow, type Transaction } from '../store/row-store.js';
 
 interface SlowSteps extends CellSteps {
@@ -55,7 +55,7 @@
       const id = cellOf(this).newJobId();
       this.jobs.push(id);
       const at = performance.now();
-      assert.equal(await submit(entry, id, { spec: { workMs: 100 } }), 'accepted');
+      assert.equal(await submitJob(entry, id, { spec: { workMs: 100 } }), 'accepted');
       this.handedIn.set(id, { at, tookMs: performance.now() - at });
     });
     await Promise.all(accepted);
@@ -66,7 +66,7 @@
   const { entries } = cellOf(this);
   const id = cellOf(this).newJobId();
   this.jobs.push(id);
-  const outcomes = await Promise.all(entries.map((entry) => submit(entry, id)));
+  const outcomes = await Promise.all(entries.map((entry) => submitJob(entry, id)));
   assert.deepEqual(
     outcomes,
     entries.map(() => 'accepted'),
@@ -79,10 +79,10 @@
     const owner = ownerOf(this);
     const other = otherEntry(this);
     if (what === 'is cut from the store') owner.store.fault = 'silent';
-    if (what === 'is lost') loseEntry(owner);
+    if (what === 'is lost') crashEntry(owner);
     const id = cellOf(this).newJobId();
     this.jobs.push(id);
-    assert.equal(await submit(other, id, { spec: { workMs: 100 } }), 'accepted');
+    assert.equal(await submitJob(other, id, { spec: { workMs: 100 } }), 'accepted');
   },
 );
 
--- a/packages/cell/src/entry/waiting-count.ts
+++ b/packages/cell/src/entry/waiting-count.ts
@@ -36,7 +36,7 @@
     return (
       this.#options.ownCount(queue) ??
       (await this.#ask(queue)) ??
-      (await this.#readTable(timeoutMs - ASK_TIMEOUT_MS))?.waiting(queue)
+      (await this.#readTable(timeoutMs - ASK_TIMEOUT_MS))?.countWaiting(queue)
     );
   }
 
--- a/packages/cell/src/evacuation/evacuated-cell.steps.ts
+++ b/packages/cell/src/evacuation/evacuated-cell.steps.ts
@@ -2,9 +2,9 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import { testStep } from '../testing/test-jobs.support.js';
-import { CellWorld, eventually } from '../testing/cell-world.support.js';
+import { TestCell, eventually } from '../testing/test-cell.support.js';
 import { TEST_EVACUATION_SOURCE } from '../testing/test-evacuations.support.js';
-import { restartGuard } from '../testing/worker-vm.support.js';
+import { restartGuard } from '../testing/test-worker.support.js';
 import {
   cellOf,
   handIn,
@@ -46,7 +46,7 @@
 Given(
   'a cell of {int} entries with {int} workers in each of halls {word} and {word}',
   async function (this: EvacuationSteps, entries: number, each: number, a: string, b: string) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.cell = cell;
     this.jobs = [];
     await cell.start(entries, 0);
@@ -64,11 +64,11 @@
 });
 
 When('hall {word} is taken back', function (this: EvacuationSteps, hall: string) {
-  cellOf(this).takeBack(hall);
+  cellOf(this).endEvacuation(hall);
 });
 
 Given("an owner that can't read evacuations", function (this: EvacuationSteps) {
-  ownerOf(this).store.unreadableFrom = TEST_EVACUATION_SOURCE.keyPrefix;
+  ownerOf(this).store.unreadableRangeStart = TEST_EVACUATION_SOURCE.keyPrefix;
 });
 
 Given('guards in hall east that are out of contact', function (this: EvacuationSteps) {
--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -2,7 +2,7 @@
 import { Then } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import { cellOf, handIn, jobOf, ownerOf, type CellSteps } from '../owner/cell-steps.support.js';
-import { eventually } from '../testing/cell-world.support.js';
+import { eventually } from '../testing/test-cell.support.js';
 
 Then('no guard calls the store more than twice in the next 4 s', async function (this: CellSteps) {
   const { workers } = cellOf(this);
--- a/packages/cell/src/job/crash-record.steps.ts
+++ b/packages/cell/src/job/crash-record.steps.ts
@@ -1,43 +1,43 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { numbers } from '../placing/placing-steps.support.js';
+import { parseNumbers } from '../placing/placing-steps.support.js';
 import { testStep, testSubmission } from '../testing/test-jobs.support.js';
-import { suspectsAmong } from './crash-record.js';
+import { selectSuspects } from './crash-record.js';
 import { JobProgress } from './progress.js';
 
 interface CrashSteps {
-  blamed: readonly { ranMs: number }[];
+  suspects: readonly { ranMs: number }[];
   progress: JobProgress;
 }
 
 const REF = { occurrence: 0, step: 0, index: 0 };
 
 /** A task that crashes its runner does so at this age, in ms. */
-const YOUNG_MS = 10;
+const START_CRASH_AGE_MS = 10;
 
 /** Ages of runners: of one that has been up for long, and of one that has just come back. */
-const LIVED_MS = 60_000;
-const FRESH_MS = 3000;
+const LONG_RUNNER_AGE_MS = 60_000;
+const RESTARTED_RUNNER_AGE_MS = 3000;
 
-function start({ progress }: CrashSteps): number {
+function startRun({ progress }: CrashSteps): number {
   return progress.startRuns([{ ref: REF, vm: 'vm', runner: 'life' }]);
 }
 
-function lose({ progress }: CrashSteps, run: number): void {
+function endRunAsLost({ progress }: CrashSteps, run: number): void {
   progress.endRun({ ref: REF, run, how: 'lost', checkpoint: '' }, { maxAttempts: 2 });
 }
 
 Given(
   /^a runner that crashed under runs of ([\d, and]+) ms$/,
   function (this: CrashSteps, ages: string) {
-    this.blamed = suspectsAmong(numbers(ages).map((ranMs) => ({ ranMs })));
+    this.suspects = selectSuspects(parseNumbers(ages).map((ranMs) => ({ ranMs })));
   },
 );
 
 Then(/^those of ([\d, and]+) ms are blamed$/, function (this: CrashSteps, ages: string) {
   assert.deepEqual(
-    this.blamed.map(({ ranMs }) => ranMs),
-    numbers(ages),
+    this.suspects.map(({ ranMs }) => ranMs),
+    parseNumbers(ages),
   );
 });
 
@@ -49,13 +49,13 @@
 When(
   /^(fresh )?runners crash under its runs, which were ([\d, and]+) ms old(, beside others as young)?$/,
   function (this: CrashSteps, fresh: string | null, ages: string, beside: string | null) {
-    const livedMs = fresh === null ? LIVED_MS : FRESH_MS;
+    const livedMs = fresh === null ? LONG_RUNNER_AGE_MS : RESTARTED_RUNNER_AGE_MS;
     const isAlone = beside === null;
-    numbers(ages).forEach((ranMs) => {
+    parseNumbers(ages).forEach((ranMs) => {
       if (this.progress.outcome !== 'open') return;
-      const run = start(this);
-      assert.ok(this.progress.noteCrash({ ref: REF, run, ranMs, livedMs, isAlone }));
-      lose(this, run);
+      const run = startRun(this);
+      assert.ok(this.progress.recordCrash({ ref: REF, run, ranMs, livedMs, isAlone }));
+      endRunAsLost(this, run);
     });
   },
 );
@@ -63,9 +63,15 @@
 When(
   'the crash under one run of {int} ms is told {int} times',
   function (this: CrashSteps, ranMs: number, times: number) {
-    const run = start(this);
+    const run = startRun(this);
     const told = Array.from({ length: times }, () =>
-      this.progress.noteCrash({ ref: REF, run, ranMs, livedMs: LIVED_MS, isAlone: true }),
+      this.progress.recordCrash({
+        ref: REF,
+        run,
+        ranMs,
+        livedMs: LONG_RUNNER_AGE_MS,
+        isAlone: true,
+      }),
     );
     assert.deepEqual(
       told,
@@ -77,15 +83,15 @@
 When(
   'its run is lost, the next one starts, and the crash under the first is told',
   function (this: CrashSteps) {
-    const run = start(this);
-    lose(this, run);
-    start(this);
+    const run = startRun(this);
+    endRunAsLost(this, run);
+    startRun(this);
     assert.ok(
-      this.progress.noteCrash({
+      this.progress.recordCrash({
         ref: REF,
         run,
-        ranMs: YOUNG_MS,
-        livedMs: LIVED_MS,
+        ranMs: START_CRASH_AGE_MS,
+        livedMs: LONG_RUNNER_AGE_MS,
         isAlone: true,
       }),
     );
--- a/packages/cell/src/job/job-rows.ts
+++ b/packages/cell/src/job/job-rows.ts
@@ -13,21 +13,27 @@
 /** Which of a job's rows. */
 export type JobRowKind = 'submission' | 'progress' | 'cancellation';
 
-const SUFFIX: Record<JobRowKind, string> = { submission: 's', progress: 'p', cancellation: 'c' };
+const KEY_SUFFIX: Record<JobRowKind, string> = {
+  submission: 's',
+  progress: 'p',
+  cancellation: 'c',
+};
 
 /** Records name each field once a row instead of once a task. */
 const packr = new Packr({ useRecords: true });
 
 /** The key of one row of a job. */
 export function jobRowKey(id: string, kind: JobRowKind): RowKey {
-  return { table: JOB_TABLE, part: '', key: `${id}/${SUFFIX[kind]}` };
+  return { table: JOB_TABLE, part: '', key: `${id}/${KEY_SUFFIX[kind]}` };
 }
 
 /** Which job and row a key names; undefined if it is none of ours. */
 export function parseJobRowKey(key: string): { id: string; kind: JobRowKind } | undefined {
   const slash = key.lastIndexOf('/');
   const suffix = key.slice(slash + 1);
-  const kind = (Object.keys(SUFFIX) as JobRowKind[]).find((each) => SUFFIX[each] === suffix);
+  const kind = (Object.keys(KEY_SUFFIX) as JobRowKind[]).find(
+    (each) => KEY_SUFFIX[each] === suffix,
+  );
   if (slash <= 0 || kind === undefined) return undefined;
   return { id: key.slice(0, slash), kind };
 }
--- a/packages/cell/src/job/job-view.ts
+++ b/packages/cell/src/job/job-view.ts
@@ -6,7 +6,7 @@
 import type { Submission } from './submission.js';
 
 /** A job as its rows say. Versions are those of the rows; 0 where there is none. */
-export interface KnownJob {
+export interface JobSnapshot {
   id: string;
   submission: Submission;
   submissionVersion: number;
@@ -17,14 +17,14 @@
 }
 
 /** Told of each change, after it was applied. */
-export type JobListener = (job: KnownJob) => void;
+export type JobListener = (job: JobSnapshot) => void;
 
 /** Jobs whose rows were seen. */
 export class JobView {
-  readonly #jobs = new Map<string, KnownJob>();
+  readonly #jobs = new Map<string, JobSnapshot>();
 
   /** Rows of jobs whose submission hasn't come yet. */
-  readonly #early = new Map<string, FeedRow[]>();
+  readonly #pendingRows = new Map<string, FeedRow[]>();
 
   readonly #listeners: JobListener[] = [];
 
@@ -38,22 +38,22 @@
     this.#listeners.push(listener);
   }
 
-  all(): IterableIterator<KnownJob> {
+  all(): IterableIterator<JobSnapshot> {
     return this.#jobs.values();
   }
 
-  get(id: string): KnownJob | undefined {
+  get(id: string): JobSnapshot | undefined {
     return this.#jobs.get(id);
   }
 
   /** Drops what is known of a job. */
-  forget(id: string): void {
+  remove(id: string): void {
     this.#jobs.delete(id);
-    this.#early.delete(id);
+    this.#pendingRows.delete(id);
   }
 
   /** Jobs of a queue that were accepted and of which no task has started. */
-  waiting(queue: string): number {
+  countWaiting(queue: string): number {
     let count = 0;
     this.#jobs.forEach((job) => {
       if (job.submission.queue === queue && isWaiting(job)) count += 1;
@@ -63,16 +63,16 @@
 
   /** Takes a row, unless a newer one of it is known. Answers whose it is; undefined if it is no job's. */
   apply(row: FeedRow): string | undefined {
-    const name = parseJobRowKey(row.key);
-    if (name === undefined) return undefined;
-    const { id, kind } = name;
+    const parsed = parseJobRowKey(row.key);
+    if (parsed === undefined) return undefined;
+    const { id, kind } = parsed;
     if (row.deleted) {
-      if (kind === 'submission') this.forget(id);
+      if (kind === 'submission') this.remove(id);
       return id;
     }
     try {
       if (kind === 'submission') this.#applySubmission(id, row);
-      else this.#applyToKnown(id, kind, row);
+      else this.#applyUpdate(id, kind, row);
     } catch (err) {
       this.#ctx.metrics.count('job.row-unreadable');
       this.#ctx.log.error({ err, key: row.key, version: row.version }, 'job row unreadable');
@@ -82,7 +82,7 @@
 
   #applySubmission(id: string, row: Row): void {
     if (this.#jobs.has(id)) return;
-    const job: KnownJob = {
+    const job: JobSnapshot = {
       id,
       submission: unpackSubmission(row.value),
       submissionVersion: row.version,
@@ -90,16 +90,16 @@
       cancelled: false,
     };
     this.#jobs.set(id, job);
-    const early = this.#early.get(id) ?? [];
-    this.#early.delete(id);
-    early.forEach((each) => this.apply(each));
-    this.#tell(job);
+    const pending = this.#pendingRows.get(id) ?? [];
+    this.#pendingRows.delete(id);
+    pending.forEach((each) => this.apply(each));
+    this.#notifyListeners(job);
   }
 
-  #applyToKnown(id: string, kind: 'progress' | 'cancellation', row: FeedRow): void {
+  #applyUpdate(id: string, kind: 'progress' | 'cancellation', row: FeedRow): void {
     const job = this.#jobs.get(id);
     if (job === undefined) {
-      this.#early.set(id, [...(this.#early.get(id) ?? []), row]);
+      this.#pendingRows.set(id, [...(this.#pendingRows.get(id) ?? []), row]);
       return;
     }
     if (kind === 'cancellation') {
@@ -109,21 +109,21 @@
       job.progress = unpackProgress(job.submission, row.value);
       job.progressVersion = row.version;
     }
-    this.#tell(job);
+    this.#notifyListeners(job);
   }
 
-  #tell(job: KnownJob): void {
+  #notifyListeners(job: JobSnapshot): void {
     this.#listeners.forEach((listener) => listener(job));
   }
 }
 
 /** What a caller is told of a job. */
-export function jobState({ submission, progress, cancelled }: KnownJob): JobState {
+export function jobState({ submission, progress, cancelled }: JobSnapshot): JobState {
   const { state } = progress ?? new JobProgress(submission);
   return cancelled && (state === 'queued' || state === 'running') ? 'cancelled' : state;
 }
 
-function isWaiting({ progress, cancelled }: KnownJob): boolean {
+function isWaiting({ progress, cancelled }: JobSnapshot): boolean {
   if (cancelled) return false;
   return progress === undefined || (progress.outcome === 'open' && !progress.begun);
 }
--- a/packages/cell/src/job/progress.steps.ts
+++ b/packages/cell/src/job/progress.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { testStep, testSubmission } from '../testing/test-jobs.support.js';
 import { packProgress, unpackProgress } from './job-rows.js';
-import { JobProgress, type EndKind } from './progress.js';
+import { JobProgress, type RunEndKind } from './progress.js';
 import type { Submission } from './submission.js';
 
 interface ProgressSteps {
@@ -22,7 +22,7 @@
   );
 }
 
-function end(world: ProgressSteps, index: number, run: number, how: EndKind): boolean {
+function endRun(world: ProgressSteps, index: number, run: number, how: RunEndKind): boolean {
   const { progress, maxAttempts } = world;
   return progress.endRun({ ref: refOf(index), run, how, checkpoint: '' }, { maxAttempts });
 }
@@ -46,17 +46,17 @@
 
 When('its run starts and two members end as failed', function (this: ProgressSteps) {
   const run = startAll(this);
-  assert.ok(end(this, 0, run, 'failed'));
-  assert.ok(end(this, 1, run, 'failed'));
+  assert.ok(endRun(this, 0, run, 'failed'));
+  assert.ok(endRun(this, 1, run, 'failed'));
 });
 
 When('its run starts and one member ends as done', function (this: ProgressSteps) {
-  assert.ok(end(this, 1, startAll(this), 'done'));
+  assert.ok(endRun(this, 1, startAll(this), 'done'));
 });
 
 When('its runs end as lost, lapsed, stopped and broken', function (this: ProgressSteps) {
   (['lost', 'lapsed', 'stopped', 'broken'] as const).forEach((how) => {
-    assert.ok(end(this, 0, startAll(this), how));
+    assert.ok(endRun(this, 0, startAll(this), how));
   });
 });
 
@@ -64,9 +64,9 @@
   'its run is lost, the next one starts, and the first ends as done after all',
   function (this: ProgressSteps) {
     const first = startAll(this);
-    assert.ok(end(this, 0, first, 'lost'));
+    assert.ok(endRun(this, 0, first, 'lost'));
     assert.equal(startAll(this), first + 1);
-    assert.equal(end(this, 0, first, 'done'), false);
+    assert.equal(endRun(this, 0, first, 'done'), false);
   },
 );
 
@@ -84,7 +84,7 @@
 
 Then('at 999, 1000, 1600 and 9000 it has opened 0, 1, 2 and 3', function (this: ProgressSteps) {
   const opened = [999, 1000, 1600, 9000].map((wallMs) => {
-    this.progress.openDue(wallMs);
+    this.progress.openDueOccurrences(wallMs);
     return this.progress.occurrences.length;
   });
   assert.deepEqual(opened, [0, 1, 2, 3]);
--- a/packages/cell/src/job/progress.ts
+++ b/packages/cell/src/job/progress.ts
@@ -1,5 +1,10 @@
 /** How far a job has come. Only the owner of its cell changes it, and each change is written before it takes effect. */
-import { isGivenUp, withCrash, type CountedCrash, type CrashRecord } from './crash-record.js';
+import {
+  isCrashLooping,
+  addCrash,
+  type CrashObservation,
+  type CrashRecord,
+} from './crash-record.js';
 import type { Step, Submission } from './submission.js';
 
 /** A run that was given to a runner and isn't known to be over. */
@@ -37,13 +42,13 @@
 }
 
 /** `open` until the last task has ended, an attempt was one too many, or it was cancelled. */
-export type Outcome = 'open' | 'completed' | 'failed' | 'cancelled';
+export type JobOutcome = 'open' | 'completed' | 'failed' | 'cancelled';
 
 /** What a caller is told. */
-export type JobState = 'queued' | 'running' | Exclude<Outcome, 'open'>;
+export type JobState = 'queued' | 'running' | Exclude<JobOutcome, 'open'>;
 
 /** How a run ended, as its runner tells it. `lost`: the runner's life or its lease ended unseen. */
-export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'lost';
+export type RunEndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'lost';
 
 /** Names one task: occurrence, step and place in the step. */
 export interface TaskRef {
@@ -56,13 +61,13 @@
 export interface RunEnd {
   ref: TaskRef;
   run: number;
-  how: EndKind;
+  how: RunEndKind;
   /** Last checkpoint; empty if there is none. */
   checkpoint: string;
 }
 
 /** A runner's crash, as it concerns one run. Times in ms. */
-export interface RunCrash extends CountedCrash {
+export interface RunCrash extends CrashObservation {
   ref: TaskRef;
   /** How long the runner's life had been known. */
   livedMs: number;
@@ -78,7 +83,7 @@
 
 /** What a progress row holds. */
 export interface ProgressRow {
-  outcome: Outcome;
+  outcome: JobOutcome;
   begun: boolean;
   opened: number;
   occurrences: Occurrence[];
@@ -88,7 +93,7 @@
 export class JobProgress {
   readonly #submission: Submission;
 
-  #outcome: Outcome;
+  #outcome: JobOutcome;
 
   #begun: boolean;
 
@@ -104,10 +109,10 @@
     this.#begun = row?.begun ?? false;
     this.#opened = row?.opened ?? 0;
     this.#occurrences = row?.occurrences ?? [];
-    if (row === undefined && submission.schedule === undefined) this.#open();
+    if (row === undefined && submission.schedule === undefined) this.#openOccurrence();
   }
 
-  get outcome(): Outcome {
+  get outcome(): JobOutcome {
     return this.#outcome;
   }
 
@@ -145,7 +150,7 @@
   }
 
   /** Opens occurrences that are due at `wallMs` (time of day). True if one was. */
-  openDue(wallMs: number): boolean {
+  openDueOccurrences(wallMs: number): boolean {
     const { schedule } = this.#submission;
     if (schedule === undefined || this.#outcome !== 'open') return false;
     const before = this.#opened;
@@ -153,7 +158,7 @@
       this.#opened < schedule.count &&
       schedule.firstAtMs + this.#opened * schedule.everyMs <= wallMs
     ) {
-      this.#open();
+      this.#openOccurrence();
     }
     return this.#opened > before;
   }
@@ -182,13 +187,13 @@
     if (step === undefined || progress === undefined) return true;
     if (!task.done) {
       // One member's end and checkpoint stand for the whole gang.
-      const concerned = step.gang ? progress.tasks : [task];
-      if (end.checkpoint !== '') assignEach(concerned, { checkpoint: end.checkpoint });
-      if (end.how === 'done' && !step.lasting) assignEach(concerned, { done: true });
+      const affected = step.gang ? progress.tasks : [task];
+      if (end.checkpoint !== '') assignToAll(affected, { checkpoint: end.checkpoint });
+      if (end.how === 'done' && !step.lasting) assignToAll(affected, { done: true });
       if (end.how === 'failed') this.#countFailure(end, step);
-      if (this.#isExhausted(end, step, maxAttempts)) this.#outcome = 'failed';
+      if (this.#hasExhaustedAttempts(end, step, maxAttempts)) this.#outcome = 'failed';
     }
-    this.#closeIfDone();
+    this.#completeIfDone();
     return true;
   }
 
@@ -196,25 +201,25 @@
    * A runner crashed under this run. The job fails once that has come to be the task's own fault: without a bound such a task was
    * started 33 times within two minutes, by the logs of one day. False if it says nothing new.
    */
-  noteCrash({ ref, livedMs, ...crash }: RunCrash): boolean {
+  recordCrash({ ref, livedMs, ...crash }: RunCrash): boolean {
     const { run } = crash;
     const task = this.findTask(ref);
     const step = this.#submission.steps[ref.step];
     if (task === undefined || step === undefined || task.done) return false;
     if (this.#outcome !== 'open' || run > task.run || run <= (task.crashes?.run ?? 0)) return false;
-    task.crashes = withCrash(task.crashes, crash);
-    if (isGivenUp(task.crashes, { lasting: step.lasting, livedMs })) this.#outcome = 'failed';
+    task.crashes = addCrash(task.crashes, crash);
+    if (isCrashLooping(task.crashes, { lasting: step.lasting, livedMs })) this.#outcome = 'failed';
     return true;
   }
 
   /** A checkpoint of a run that goes on. True if it is a new one. */
-  keepCheckpoint({ ref, run, checkpoint }: Omit<RunEnd, 'how'>): boolean {
+  recordCheckpoint({ ref, run, checkpoint }: Omit<RunEnd, 'how'>): boolean {
     const task = this.findTask(ref);
     if (checkpoint === '' || task?.active?.run !== run || task.checkpoint === checkpoint) {
       return false;
     }
     const gang = this.#submission.steps[ref.step]?.gang ?? false;
-    assignEach(gang ? (this.findStep(ref)?.tasks ?? []) : [task], { checkpoint });
+    assignToAll(gang ? (this.findStep(ref)?.tasks ?? []) : [task], { checkpoint });
     return true;
   }
 
@@ -236,7 +241,7 @@
     );
   }
 
-  #open(): void {
+  #openOccurrence(): void {
     this.#occurrences.push({
       index: this.#opened,
       steps: this.#submission.steps.map(newStep),
@@ -257,19 +262,19 @@
     progress.failures += 1;
   }
 
-  #isExhausted({ ref }: RunEnd, step: Step, maxAttempts: number): boolean {
+  #hasExhaustedAttempts({ ref }: RunEnd, step: Step, maxAttempts: number): boolean {
     if (this.#outcome !== 'open' || step.lasting) return false;
     const failures = step.gang ? this.findStep(ref)?.failures : this.findTask(ref)?.failures;
     return (failures ?? 0) >= maxAttempts;
   }
 
-  #closeIfDone(): void {
+  #completeIfDone(): void {
     if (this.#outcome !== 'open') return;
     const count = this.#submission.schedule?.count ?? 1;
-    const allDone = this.#occurrences.every(({ steps }) => steps.every(isDone));
+    const allDone = this.#occurrences.every(({ steps }) => steps.every(isStepDone));
     if (allDone && this.#opened >= count) this.#outcome = 'completed';
     this.#occurrences = this.#occurrences.filter(
-      ({ steps }) => !steps.every((step) => isDone(step) && !hasActive(step)),
+      ({ steps }) => !steps.every((step) => isStepDone(step) && !hasActiveRun(step)),
     );
   }
 }
@@ -289,14 +294,14 @@
   return { tasks, failures: 0, failedRun: 0 };
 }
 
-function assignEach(tasks: readonly TaskProgress[], change: Partial<TaskProgress>): void {
+function assignToAll(tasks: readonly TaskProgress[], change: Partial<TaskProgress>): void {
   tasks.forEach((task) => Object.assign(task, change));
 }
 
-function isDone(step: StepProgress): boolean {
+function isStepDone(step: StepProgress): boolean {
   return step.tasks.every(({ done }) => done);
 }
 
-function hasActive(step: StepProgress): boolean {
+function hasActiveRun(step: StepProgress): boolean {
   return step.tasks.some(({ active }) => active !== undefined);
 }
--- a/packages/cell/src/job/submission.ts
+++ b/packages/cell/src/job/submission.ts
@@ -94,7 +94,7 @@
 export type JobRequest = z.infer<typeof jobRequestSchema>;
 
 /** What is wrong with the graph of steps, in words; undefined if nothing is. */
-export function graphFault(steps: readonly Step[]): string | undefined {
+export function findGraphError(steps: readonly Step[]): string | undefined {
   const total = steps.reduce((sum, step) => sum + step.tasks, 0);
   if (total > MAX_TASKS_PER_JOB) {
     return `The job has ${total} tasks; at most ${MAX_TASKS_PER_JOB} are taken. Split it into several jobs.`;
@@ -105,7 +105,7 @@
 }
 
 /** Longest chain of steps, in ms, by how long a task of each is expected to take. */
-export function longestChainMs(
+export function criticalPathMs(
   steps: readonly Step[],
   expectedMs: (step: Step, index: number) => number,
 ): number {
--- a/packages/cell/src/owner/advised.ts
+++ b/packages/cell/src/owner/advised.ts
@@ -2,16 +2,22 @@
 import type { AdviceBook, AdviceStanding } from '../advice/advice-book.js';
 import type { AdviceQuestion } from '../advice/advice-desk.js';
 import { stepName } from '../job/task-name.js';
-import { fits, isEligible, tasksThatFit, type Group, type Room } from '../placing/room.js';
+import {
+  maxTasks,
+  isEligible,
+  tasksFitting,
+  type TaskGroup,
+  type AvailableWorker,
+} from '../placing/available-worker.js';
 
 /** Runners in one question: the platform reckons with one question of so many for each step. */
 const RUNNERS_PER_QUESTION = 30;
 
 /** Advice on one group. */
 export class GroupAdvice {
-  readonly #group: Group;
+  readonly #group: TaskGroup;
 
-  readonly #rooms: readonly Room[];
+  readonly #rooms: readonly AvailableWorker[];
 
   readonly #book: AdviceBook;
 
@@ -23,8 +29,8 @@
     book,
     now,
   }: {
-    group: Group;
-    rooms: readonly Room[];
+    group: TaskGroup;
+    rooms: readonly AvailableWorker[];
     book: AdviceBook;
     now: number;
   }) {
@@ -35,7 +41,7 @@
   }
 
   /** The group, kept from all runners but those of these standings. */
-  restrictedTo(...standings: readonly AdviceStanding[]): Group {
+  restrictedTo(...standings: readonly AdviceStanding[]): TaskGroup {
     const excluded = this.#rooms
       .filter((room) => !standings.includes(this.#standing(room)))
       .map(({ vm }) => vm);
@@ -53,20 +59,20 @@
     const rooms = this.#rooms
       .filter((room) => isEligible(this.#group, room))
       .filter((room) => this.#standing(room) === 'unknown')
-      .filter((room) => fits(room.capacity, this.#group.demand) > 0)
-      .map((room) => ({ room, count: tasksThatFit(this.#group, room) }))
+      .filter((room) => maxTasks(room.capacity, this.#group.demand) > 0)
+      .map((room) => ({ room, count: tasksFitting(this.#group, room) }))
       .sort((a, b) => b.count - a.count)
       .map(({ room }) => room);
     return this.#question(rooms);
   }
 
-  #question(rooms: readonly Room[]): AdviceQuestion | undefined {
+  #question(rooms: readonly AvailableWorker[]): AdviceQuestion | undefined {
     if (rooms.length === 0) return undefined;
     const runners = rooms.slice(0, RUNNERS_PER_QUESTION).map(({ runner }) => runner);
     return { step: stepName(this.#group), runners };
   }
 
-  #standing({ runner }: Room): AdviceStanding {
+  #standing({ runner }: AvailableWorker): AdviceStanding {
     return this.#book.standing(stepName(this.#group), runner, this.#now);
   }
 }
--- a/packages/cell/src/owner/candidates.ts
+++ b/packages/cell/src/owner/candidates.ts
@@ -1,6 +1,6 @@
 /** All groups that wait, the most urgent first. */
-import { byUrgency, type Standing } from '../placing/order.js';
-import type { Room } from '../placing/room.js';
+import { compareByUrgency, type UrgencyFactors } from '../placing/job-urgency.js';
+import type { AvailableWorker } from '../placing/available-worker.js';
 import type { PassInput } from './pass-input.js';
 import { durationsOf, standingOf } from './standings.js';
 import { wantedGroups, type WantedGroup } from './wanted-groups.js';
@@ -8,7 +8,7 @@
 /** A group and where its job stands. */
 export interface Candidate {
   wanted: WantedGroup;
-  standing: Standing;
+  standing: UrgencyFactors;
 }
 
 /** Groups of all jobs in the order in which they are placed. */
@@ -34,11 +34,11 @@
         occurrence: wanted.group.occurrence,
       }),
     }))
-    .sort((a, b) => byUrgency(a.standing, b.standing));
+    .sort((a, b) => compareByUrgency(a.standing, b.standing));
 }
 
 /** Services of whose accelerators half or more are in use. */
-function busyServices(rooms: readonly Room[]): Set<string> {
+function busyServices(rooms: readonly AvailableWorker[]): Set<string> {
   const services = [...new Set(rooms.map(({ service }) => service))];
   const isBusy = (service: string): boolean => {
     const own = rooms.filter((room) => room.service === service);
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -2,14 +2,14 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import {
-  CellWorld,
-  callOf,
+  TestCell,
+  jobCall,
   eventually,
-  submit,
-  loseEntry,
-  loseEntryAtWrite,
-} from '../testing/cell-world.support.js';
-import { sendHeartbeat } from '../testing/worker-vm.support.js';
+  submitJob,
+  crashEntry,
+  crashEntryAtProgressWrite,
+} from '../testing/test-cell.support.js';
+import { sendHeartbeat } from '../testing/test-worker.support.js';
 import { TEST_QUEUE, testStep, testSubmission } from '../testing/test-jobs.support.js';
 import { OWNER_KEY } from './owner-row.js';
 import { entryRowKey } from '../entry/entry-row.js';
@@ -30,7 +30,7 @@
 });
 
 Given('the owner stops the moment a run is written down', function (this: CellSteps) {
-  loseEntryAtWrite(ownerOf(this));
+  crashEntryAtProgressWrite(ownerOf(this));
 });
 
 Given(
@@ -87,7 +87,7 @@
 Then(
   /^its progress says that it is (completed|failed)$/,
   async function (this: CellSteps, outcome: string) {
-    const isSo = (): boolean => cellOf(this).writtenProgress(jobOf(this))?.outcome === outcome;
+    const isSo = (): boolean => cellOf(this).storedProgress(jobOf(this))?.outcome === outcome;
     assert.ok(await eventually(isSo));
   },
 );
@@ -104,7 +104,7 @@
 Given('a cell that keeps ended jobs for 1 s', async function (this: CellSteps) {
   const cell = cellOf(this);
   await cell.stop();
-  const fresh = new CellWorld();
+  const fresh = new TestCell();
   fresh.keepEndedMs = 1000;
   this.cell = fresh;
   await fresh.start(2, 1);
@@ -114,7 +114,7 @@
   const cell = cellOf(this);
   cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
   const isRefused = async () =>
-    (await submit(otherEntry(this), cell.newJobId())) === 'not-accepted';
+    (await submitJob(otherEntry(this), cell.newJobId())) === 'not-accepted';
   assert.ok(await eventually(isRefused, 2000));
 });
 
@@ -154,7 +154,7 @@
   async function (this: CellSteps) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
-    const { outcome } = await cutOff.app.calls.state(callOf(jobOf(this)));
+    const { outcome } = await cutOff.app.calls.state(jobCall(jobOf(this)));
     assert.equal(outcome, 'state');
     assert.equal(cutOff.metrics.counters.get('call.state.state'), 1);
   },
@@ -180,7 +180,7 @@
   const cell = cellOf(this);
   const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
-  assert.equal(await submit(cutOff, cell.newJobId()), 'accepted');
+  assert.equal(await submitJob(cutOff, cell.newJobId()), 'accepted');
 });
 
 Given('the answers of entries that calls are passed on to are lost', function (this: CellSteps) {
@@ -202,7 +202,7 @@
     assert.ok(cutOff);
     const id = cell.newJobId();
     this.jobs.push(id);
-    assert.equal(await submit(cutOff, id), expected);
+    assert.equal(await submitJob(cutOff, id), expected);
   },
 );
 
@@ -237,7 +237,7 @@
 );
 
 When('the owner is lost', function (this: CellSteps) {
-  loseEntry(ownerOf(this));
+  crashEntry(ownerOf(this));
 });
 
 When('the owner is cut from the store', function (this: CellSteps) {
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -19,7 +19,7 @@
   type EvacuationSource,
 } from '../evacuation/evacuations.js';
 import { JOB_TABLE } from '../job/job-rows.js';
-import { JobView, type KnownJob } from '../job/job-view.js';
+import { JobView, type JobSnapshot } from '../job/job-view.js';
 import { runnerIdOf } from '../runner/life-name.js';
 import type { Row, RowKey, RowStore } from '../store/row-store.js';
 import { TableFollower } from '../store/table-follower.js';
@@ -236,10 +236,10 @@
 
   /** How many jobs of a queue wait; undefined before the books are read. */
   waiting(queue: string): number | undefined {
-    return this.#loaded && !this.#stopped ? this.#view.waiting(queue) : undefined;
+    return this.#loaded && !this.#stopped ? this.#view.countWaiting(queue) : undefined;
   }
 
-  #noteJob(known: KnownJob): void {
+  #noteJob(known: JobSnapshot): void {
     if (!this.#loaded || this.#stopped) return;
     const own = this.#book.jobs.get(known.id);
     if (own !== undefined) {
--- a/packages/cell/src/owner/cell-steps.support.ts
+++ b/packages/cell/src/owner/cell-steps.support.ts
@@ -1,23 +1,23 @@
 /** What the steps about a cell have in common. */
 import assert from 'node:assert/strict';
 import type { JobRequest, Step } from '../job/submission.js';
-import { CellWorld, eventually, submit } from '../testing/cell-world.support.js';
+import { TestCell, eventually, submitJob } from '../testing/test-cell.support.js';
 
 /** What the steps of a scenario share. */
 export interface CellSteps {
-  cell?: CellWorld;
+  cell?: TestCell;
   jobs: string[];
   /** The owner's row as it was. */
   ownerRow?: Buffer | undefined;
 }
 
 /** An entry of the cell. */
-export type Entry = CellWorld['entries'][number];
+export type Entry = TestCell['entries'][number];
 /** A worker of the cell, with its guard and runner. */
-export type Worker = CellWorld['workers'][number];
+export type Worker = TestCell['workers'][number];
 
 /** The cell of this scenario. */
-export function cellOf({ cell }: CellSteps): CellWorld {
+export function cellOf({ cell }: CellSteps): TestCell {
   assert.ok(cell);
   return cell;
 }
@@ -60,7 +60,7 @@
   const id = cell.newJobId();
   world.jobs.push(id);
   const { entry = otherEntry(world), ...job } = options;
-  assert.equal(await submit(entry, id, job), 'accepted');
+  assert.equal(await submitJob(entry, id, job), 'accepted');
 }
 
 /** Waits until something runs. */
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -3,8 +3,8 @@
 import { SLOW_CLOCK } from '../clock/lease-margin.js';
 import { pause } from '../clock/pause.js';
 import type { Step } from '../job/submission.js';
-import { CellWorld, callOf, eventually, submit } from '../testing/cell-world.support.js';
-import { TEST_LEASE_MS } from '../testing/worker-vm.support.js';
+import { TestCell, jobCall, eventually, submitJob } from '../testing/test-cell.support.js';
+import { TEST_LEASE_MS } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
@@ -19,7 +19,7 @@
 Given(
   'a cell of {int} entries and {int} worker(s)',
   async function (this: CellSteps, entries: number, workers: number) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.cell = cell;
     this.jobs = [];
     await cell.start(entries, workers);
@@ -111,7 +111,7 @@
 );
 
 When('it is cancelled', async function (this: CellSteps) {
-  const { outcome } = await otherEntry(this).app.calls.cancel(callOf(jobOf(this)));
+  const { outcome } = await otherEntry(this).app.calls.cancel(jobCall(jobOf(this)));
   assert.equal(outcome, 'cancelled');
 });
 
@@ -119,7 +119,7 @@
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
-  const outcomes = await Promise.all(cell.entries.map((entry) => submit(entry, id)));
+  const outcomes = await Promise.all(cell.entries.map((entry) => submitJob(entry, id)));
   assert.deepEqual(outcomes, ['accepted', 'accepted']);
 });
 
@@ -127,10 +127,10 @@
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
-  const first = await submit(otherEntry(this), id);
+  const first = await submitJob(otherEntry(this), id);
   assert.ok(['unknown', 'accepted'].includes(first));
   otherEntry(this).store.fault = 'none';
-  assert.equal(await submit(ownerOf(this), id), 'accepted');
+  assert.equal(await submitJob(ownerOf(this), id), 'accepted');
 });
 
 When('a job is handed in at the other entry', async function (this: CellSteps) {
@@ -139,12 +139,12 @@
 
 Then('it completes', { timeout: 30_000 }, async function (this: CellSteps) {
   const cell = cellOf(this);
-  const isComplete = async () => (await cell.state(jobOf(this))) === 'completed';
-  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.state(jobOf(this))}`);
+  const isComplete = async () => (await cell.jobState(jobOf(this))) === 'completed';
+  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.jobState(jobOf(this))}`);
 });
 
 Then('all of them complete', async function (this: CellSteps) {
-  const states = () => Promise.all(this.jobs.map((id) => cellOf(this).state(id)));
+  const states = () => Promise.all(this.jobs.map((id) => cellOf(this).jobState(id)));
   assert.ok(await eventually(async () => (await states()).every((s) => s === 'completed')));
 });
 
@@ -158,16 +158,16 @@
 });
 
 Then('a job handed in is refused as not accepted', async function (this: CellSteps) {
-  assert.equal(await submit(otherEntry(this), cellOf(this).newJobId()), 'not-accepted');
+  assert.equal(await submitJob(otherEntry(this), cellOf(this).newJobId()), 'not-accepted');
 });
 
 Then('it fails', async function (this: CellSteps) {
   const cell = cellOf(this);
-  assert.ok(await eventually(async () => (await cell.state(jobOf(this))) === 'failed'));
+  assert.ok(await eventually(async () => (await cell.jobState(jobOf(this))) === 'failed'));
 });
 
 Then('it is shown as cancelled', async function (this: CellSteps) {
-  assert.equal(await cellOf(this).state(jobOf(this)), 'cancelled');
+  assert.equal(await cellOf(this).jobState(jobOf(this)), 'cancelled');
 });
 
 Then('its second step began after all of the first had ended', function (this: CellSteps) {
@@ -229,7 +229,7 @@
 
 Then('a job with that key is refused there as not authenticated', async function (this: CellSteps) {
   const cell = cellOf(this);
-  assert.equal(await submit(otherEntry(this), cell.newJobId()), 'not-authenticated');
+  assert.equal(await submitJob(otherEntry(this), cell.newJobId()), 'not-authenticated');
 });
 
 Then(
@@ -237,7 +237,7 @@
   async function (this: CellSteps, limitMs: number) {
     const cell = cellOf(this);
     const startedAt = performance.now();
-    assert.equal(await submit(otherEntry(this), cell.newJobId()), 'not-accepted');
+    assert.equal(await submitJob(otherEntry(this), cell.newJobId()), 'not-accepted');
     assert.ok(performance.now() - startedAt < limitMs);
   },
 );
--- a/packages/cell/src/owner/changing-room.steps.ts
+++ b/packages/cell/src/owner/changing-room.steps.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { eventually } from '../testing/cell-world.support.js';
-import { sendHeartbeat } from '../testing/worker-vm.support.js';
+import { eventually } from '../testing/test-cell.support.js';
+import { sendHeartbeat } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
 
@@ -44,7 +44,7 @@
   { timeout: 15_000 },
   async function (this: CellSteps, most: number) {
     let seen = 0;
-    while ((await cellOf(this).state(jobOf(this))) !== 'completed') {
+    while ((await cellOf(this).jobState(jobOf(this))) !== 'completed') {
       seen = Math.max(seen, runningNow(this));
       await pause(LOOK_EVERY_MS);
     }
@@ -60,7 +60,7 @@
     const [first, second] = this.jobs;
     assert.ok(first !== undefined && second !== undefined);
     assert.ok(await eventually(() => cell.starts(second).length > 0));
-    assert.equal(await cell.state(first), 'completed');
+    assert.equal(await cell.jobState(first), 'completed');
   },
 );
 
--- a/packages/cell/src/owner/crash-report.ts
+++ b/packages/cell/src/owner/crash-report.ts
@@ -1,6 +1,6 @@
 /** What a guard tells of its runner's crash is counted against the tasks that may have caused it. */
 import type { RunnerCrash } from '@zincspan/core';
-import { suspectsAmong } from '../job/crash-record.js';
+import { selectSuspects } from '../job/crash-record.js';
 import type { RunCrash } from '../job/progress.js';
 import { parseTaskName } from '../job/task-name.js';
 import type { Assignment, Worker } from '../worker/worker.js';
@@ -8,7 +8,7 @@
 
 /** Takes it up. It may be told again, also of runs that were given up before: each run counts once. */
 export function takeUpCrash(book: RunBook, { vm }: Worker, { runs, livedMs }: RunnerCrash): void {
-  const suspects = suspectsAmong(runs).flatMap(({ task, run, ranMs }) => {
+  const suspects = selectSuspects(runs).flatMap(({ task, run, ranMs }) => {
     const parsed = parseTaskName(task);
     return parsed === undefined ? [] : [{ ...parsed, task, run, ranMs }];
   });
--- a/packages/cell/src/owner/crashing-tasks.steps.ts
+++ b/packages/cell/src/owner/crashing-tasks.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { eventually, loseEntry } from '../testing/cell-world.support.js';
+import { eventually, crashEntry } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
@@ -29,7 +29,7 @@
 }
 
 Given('a guard is started anew whenever the runner beside it crashes', function (this: CellSteps) {
-  cellOf(this).crashesTakeGuards = true;
+  cellOf(this).crashesRestartGuards = true;
 });
 
 When('a job whose runs all crash their runners is handed in', async function (this: CellSteps) {
@@ -62,7 +62,7 @@
 
 When('after its second start the loss of the owner happens', async function (this: CellSteps) {
   assert.ok(await eventually(() => mostStartsOfATask(this, jobOf(this)) >= 2));
-  loseEntry(ownerOf(this));
+  crashEntry(ownerOf(this));
 });
 
 Then(
@@ -71,7 +71,7 @@
   async function (this: CellSteps) {
     const job = this.jobs.at(-1);
     assert.ok(job !== undefined);
-    const isFailed = async (): Promise<boolean> => (await cellOf(this).state(job)) === 'failed';
+    const isFailed = async (): Promise<boolean> => (await cellOf(this).jobState(job)) === 'failed';
     assert.ok(await eventually(isFailed, GIVEN_UP_WITHIN_MS));
   },
 );
@@ -94,7 +94,8 @@
   { timeout: 20_000 },
   async function (this: CellSteps, which: string) {
     const jobs = which.startsWith('each') ? this.jobs : this.jobs.slice(0, -1);
-    const states = (): Promise<string[]> => Promise.all(jobs.map((id) => cellOf(this).state(id)));
+    const states = (): Promise<string[]> =>
+      Promise.all(jobs.map((id) => cellOf(this).jobState(id)));
     const areOver = async (): Promise<boolean> =>
       (await states()).every((state) => !OPEN_STATES.includes(state));
     assert.ok(await eventually(areOver, GIVEN_UP_WITHIN_MS));
--- a/packages/cell/src/owner/disturbed-fleet.steps.ts
+++ b/packages/cell/src/owner/disturbed-fleet.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { eventually } from '../testing/cell-world.support.js';
+import { eventually } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
 
@@ -44,9 +44,9 @@
   async function (this: CellSteps, aheadMs: number) {
     const cell = cellOf(this);
     assert.ok(await eventually(() => cell.starts(jobOf(this)).length >= 2));
-    cell.clock.aheadMs = aheadMs;
+    cell.clock.wallOffsetMs = aheadMs;
     await pause(OFF_MS);
-    cell.clock.aheadMs = 0;
+    cell.clock.wallOffsetMs = 0;
   },
 );
 
--- a/packages/cell/src/owner/ended-sweeper.ts
+++ b/packages/cell/src/owner/ended-sweeper.ts
@@ -1,7 +1,7 @@
 /** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would only grow. */
 import type { ProcessContext } from '@zincspan/core';
 import { jobRowKey, type JobRowKind } from '../job/job-rows.js';
-import type { JobView, KnownJob } from '../job/job-view.js';
+import type { JobView, JobSnapshot } from '../job/job-view.js';
 import type { RowStore } from '../store/row-store.js';
 import { OWNER_KEY } from './owner-row.js';
 
@@ -68,7 +68,7 @@
     if (!this.#stopped) this.start();
   }
 
-  #due(): KnownJob[] {
+  #due(): JobSnapshot[] {
     const { view, ctx, keepEndedMs } = this.#options;
     const now = ctx.clock.now();
     return [...view.all()]
@@ -81,7 +81,7 @@
       .slice(0, JOBS_PER_SWEEP);
   }
 
-  async #remove(jobs: readonly KnownJob[]): Promise<void> {
+  async #remove(jobs: readonly JobSnapshot[]): Promise<void> {
     const { store, ctx, ownerVersion } = this.#options;
     const result = await store.transact(
       {
@@ -101,7 +101,7 @@
 }
 
 /** Ended, and nothing of it can run any more. */
-function isOver(progress: KnownJob['progress']): boolean {
+function isOver(progress: JobSnapshot['progress']): boolean {
   if (progress === undefined || progress.outcome === 'open') return false;
   return progress.activeRuns().length === 0;
 }
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -1,10 +1,10 @@
 /** The workers of a cell, and when what was given to one that is out of contact is surely over. */
 import type { Clock } from '@zincspan/core';
 import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
-import { FRESH_RUNNER_MS } from '../job/crash-record.js';
+import { RECENT_RESTART_MS } from '../job/crash-record.js';
 import type { Evacuations } from '../evacuation/evacuations.js';
 import { Worker, type Assignment } from '../worker/worker.js';
-import { Room } from '../placing/room.js';
+import { AvailableWorker } from '../placing/available-worker.js';
 
 /** Nothing is placed on a worker that was out of contact for longer, in ms: two missed contacts. */
 const PLACE_WITHIN_MS = 2200;
@@ -92,7 +92,7 @@
   }
 
   /** Room on all workers that may be given something now. */
-  rooms(): Room[] {
+  rooms(): AvailableWorker[] {
     const now = this.#clock.now();
     return [...this.#workers.values()]
       .filter((worker) => !this.isEvacuated(worker) && isPlaceable(worker, now))
@@ -106,10 +106,10 @@
   return now - contactAt < PLACE_WITHIN_MS && now >= avoidUntil;
 }
 
-function toRoom(worker: Worker, now: number): Room {
+function toRoom(worker: Worker, now: number): AvailableWorker {
   const { vm, rack, runner } = worker;
   const young = worker.youngRuns(now);
-  return new Room({
+  return new AvailableWorker({
     vm,
     runner: runner?.id ?? '',
     rack,
@@ -117,10 +117,10 @@
     service: runner?.service ?? '',
     free: worker.free(),
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
-    suspicion: worker.health.suspicion(now),
-    youngJobs: new Set(young.map(({ jobId }) => jobId)),
-    trialOf: young.find(({ isOnTrial }) => isOnTrial)?.jobId,
+    penalty: worker.health.suspicion(now),
+    startingJobs: new Set(young.map(({ jobId }) => jobId)),
+    suspectJob: young.find(({ isOnTrial }) => isOnTrial)?.jobId,
     isCold: worker.isCold(now),
-    isFresh: now - worker.lifeSince < FRESH_RUNNER_MS,
+    isRecentlyRestarted: now - worker.lifeSince < RECENT_RESTART_MS,
   });
 }
--- a/packages/cell/src/owner/occupants.steps.ts
+++ b/packages/cell/src/owner/occupants.steps.ts
@@ -3,7 +3,7 @@
 import { quietContext } from '@zincspan/core';
 import { AdviceBook } from '../advice/advice-book.js';
 import { JobProgress } from '../job/progress.js';
-import { DurationBook } from '../placing/duration-book.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { Fleet } from './fleet.js';
 import { findOccupants } from './occupants.js';
@@ -24,7 +24,7 @@
     ctx,
     fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs: 6000, earlierGrantMs: 0 }),
     advice: new AdviceBook(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     events: { onChanged: () => undefined, onNews: () => undefined },
   });
 }
--- a/packages/cell/src/owner/occupants.ts
+++ b/packages/cell/src/owner/occupants.ts
@@ -1,5 +1,5 @@
 /** What runs in a cell, as sets that stop together, with what stopping each would throw away. */
-import type { HeldRoom } from '../placing/room-ledger.js';
+import type { HeldCapacity } from '../placing/capacity-ledger.js';
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { Occupant } from './pass-input.js';
@@ -17,7 +17,7 @@
 
 /** An occupant while its members are being gathered. */
 interface Gathered extends Occupant {
-  members: HeldRoom[];
+  members: HeldCapacity[];
   assignments: Assignment[];
 }
 
--- a/packages/cell/src/owner/owned-job.ts
+++ b/packages/cell/src/owner/owned-job.ts
@@ -1,5 +1,5 @@
 /** A job in the hands of the cell's owner: its progress, ahead of the store by the changes that aren't written yet. */
-import type { KnownJob } from '../job/job-view.js';
+import type { JobSnapshot } from '../job/job-view.js';
 import { JobProgress } from '../job/progress.js';
 import type { QueueTerms, Step, Submission } from '../job/submission.js';
 
@@ -55,7 +55,7 @@
     progress,
     progressVersion,
     cancelled,
-  }: KnownJob) {
+  }: JobSnapshot) {
     this.id = id;
     this.submissionVersion = submissionVersion;
     this.submission = submission;
--- a/packages/cell/src/owner/pass-input.ts
+++ b/packages/cell/src/owner/pass-input.ts
@@ -1,9 +1,9 @@
 /** What a placing pass sees and what it decides. */
 import type { AdviceBook } from '../advice/advice-book.js';
 import type { AdviceQuestion } from '../advice/advice-desk.js';
-import type { DurationBook } from '../placing/duration-book.js';
-import type { Victim } from '../placing/reclaim.js';
-import type { Placed, Room } from '../placing/room.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
+import type { Victim } from '../placing/preemption.js';
+import type { TaskPlacement, AvailableWorker } from '../placing/available-worker.js';
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { QueueMeans } from './standings.js';
@@ -31,12 +31,12 @@
 export interface PassInput {
   jobs: readonly OwnedJob[];
   claims: ReadonlySet<OwnedJob>;
-  rooms: readonly Room[];
+  rooms: readonly AvailableWorker[];
   /** Nothing starts on these for now. */
   evacuatedRacks: ReadonlySet<string>;
   occupants: readonly Occupant[];
   means: QueueMeans;
-  durations: DurationBook;
+  durations: DurationEstimator;
   bounds: ReclaimBounds;
   /** Monotonic, in ms. */
   now: number;
@@ -50,7 +50,7 @@
 /** A group that is to start. */
 export interface Start {
   wanted: WantedGroup;
-  placed: Placed[];
+  placed: TaskPlacement[];
 }
 
 /** An occupant that is to be stopped, and the job that it makes room for. */
--- a/packages/cell/src/owner/placing-pass.steps.ts
+++ b/packages/cell/src/owner/placing-pass.steps.ts
@@ -2,8 +2,8 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { AdviceBook } from '../advice/advice-book.js';
 import type { Demand } from '../job/submission.js';
-import { DurationBook } from '../placing/duration-book.js';
-import { Room } from '../placing/room.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
+import { AvailableWorker } from '../placing/available-worker.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import type { OwnedJob } from './owned-job.js';
 import type { Occupant, PassResult } from './pass-input.js';
@@ -11,7 +11,7 @@
 import { QueueMeans } from './standings.js';
 
 interface PassSteps {
-  rooms: Room[];
+  rooms: AvailableWorker[];
   occupants: Occupant[];
   jobs: OwnedJob[];
   claims: Set<OwnedJob>;
@@ -49,8 +49,8 @@
   return testOwnedJob(submission);
 }
 
-function newRoom(vm: string, free: Demand): Room {
-  return new Room({
+function newRoom(vm: string, free: Demand): AvailableWorker {
+  return new AvailableWorker({
     vm,
     runner: `runner of ${vm}`,
     rack: 'r1',
@@ -151,7 +151,7 @@
     evacuatedRacks: new Set(),
     occupants,
     means: new QueueMeans(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     bounds: { reclaimMs: 2700, stopMs: 200 },
     now: 0,
     wallMs: 0,
--- a/packages/cell/src/owner/placing-pass.ts
+++ b/packages/cell/src/owner/placing-pass.ts
@@ -1,7 +1,7 @@
 /** One look over all that waits: what starts where, and whose runs are stopped for it. Decides; changes nothing. */
-import { placeGroup } from '../placing/fit.js';
-import { RoomLedger } from '../placing/room-ledger.js';
-import type { Group } from '../placing/room.js';
+import { placeGroup } from '../placing/best-fit.js';
+import { CapacityLedger } from '../placing/capacity-ledger.js';
+import type { TaskGroup } from '../placing/available-worker.js';
 import { GroupAdvice } from './advised.js';
 import { candidates, type Candidate } from './candidates.js';
 import type { PassInput, PassResult } from './pass-input.js';
@@ -16,7 +16,7 @@
 
   readonly #input: PassInput;
 
-  readonly #ledger: RoomLedger;
+  readonly #ledger: CapacityLedger;
 
   readonly #roomMaker: RoomMaker;
 
@@ -25,7 +25,7 @@
   constructor(input: PassInput) {
     this.#input = input;
     const stopping = input.occupants.filter((occupant) => occupant.stopping);
-    this.#ledger = new RoomLedger(
+    this.#ledger = new CapacityLedger(
       input.rooms,
       stopping.flatMap(({ members }) => members),
     );
@@ -77,7 +77,7 @@
     this.#ledger.place(approved);
   }
 
-  #adviceOn(group: Group): GroupAdvice {
+  #adviceOn(group: TaskGroup): GroupAdvice {
     const { advice: book, now, rooms } = this.#input;
     return new GroupAdvice({ group, rooms, book, now });
   }
--- a/packages/cell/src/owner/progress-writer.steps.ts
+++ b/packages/cell/src/owner/progress-writer.steps.ts
@@ -4,7 +4,7 @@
 import { RowTables } from '@zincspan/stand-ins';
 import { pause } from '../clock/pause.js';
 import { jobRowKey, packSubmission, unpackProgress } from '../job/job-rows.js';
-import { eventually } from '../testing/cell-world.support.js';
+import { eventually } from '../testing/test-cell.support.js';
 import { noEvacuations } from '../testing/test-evacuations.support.js';
 import { testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { MemoryRowStore } from '../testing/memory-row-store.support.js';
--- a/packages/cell/src/owner/returning-runners.steps.ts
+++ b/packages/cell/src/owner/returning-runners.steps.ts
@@ -2,8 +2,8 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import { lifeName } from '../runner/life-name.js';
-import { eventually, loseEntry } from '../testing/cell-world.support.js';
-import { sendHeartbeat, reportOf, restartGuard } from '../testing/worker-vm.support.js';
+import { eventually, crashEntry } from '../testing/test-cell.support.js';
+import { sendHeartbeat, reportOf, restartGuard } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, ownerOf, type CellSteps, type Worker } from './cell-steps.support.js';
 
@@ -49,7 +49,7 @@
 
 async function lastCompletes(world: CellSteps): Promise<void> {
   const job = world.jobs.at(-1) ?? '';
-  const isOver = async (): Promise<boolean> => (await cellOf(world).state(job)) === 'completed';
+  const isOver = async (): Promise<boolean> => (await cellOf(world).jobState(job)) === 'completed';
   assert.ok(await eventually(isOver, GANG_WITHIN_MS));
 }
 
@@ -71,7 +71,7 @@
 }
 
 Given('runners keep their ids when they start again', function (this: CellSteps) {
-  cellOf(this).keepsIds = true;
+  cellOf(this).reusesRunnerIds = true;
 });
 
 When('a job is handed in and completes', async function (this: CellSteps) {
@@ -145,7 +145,7 @@
 });
 
 When('each runner returns while the owner is lost', async function (this: CellSteps) {
-  loseEntry(ownerOf(this));
+  crashEntry(ownerOf(this));
   await Promise.all(cellOf(this).workers.map((worker) => returns(this, worker)));
 });
 
@@ -155,7 +155,7 @@
 });
 
 When('the runner returns with a clock that is an hour behind', async function (this: CellSteps) {
-  cellOf(this).runnersBehindMs = HOUR_MS;
+  cellOf(this).runnerClockLagMs = HOUR_MS;
   await returns(this, firstWorker(this));
 });
 
@@ -197,7 +197,7 @@
     const { workers } = cellOf(this);
     workers.forEach(({ runner }) => Object.assign(runner, { lateStartsMs: LATE_MS }));
     await handIn(this, { spec: { workMs: 1500 } });
-    assert.ok(await eventually(() => workers.some(({ runner }) => runner.lateCalls > 0)));
+    assert.ok(await eventually(() => workers.some(({ runner }) => runner.lateStarts > 0)));
     workers.forEach(({ runner }) => Object.assign(runner, { lateStartsMs: undefined }));
     await Promise.all(workers.map((worker) => returns(this, worker)));
   },
@@ -227,17 +227,17 @@
   async function (this: CellSteps) {
     const worker = firstWorker(this);
     const { runner } = worker;
-    worker.mute = true;
+    worker.isHeartbeatMuted = true;
     runner.dark = true;
     await handIn(this, { spec: { failRuns: 99 } });
-    assert.ok(await eventually(() => runner.startsWithoutAnswer > 0));
+    assert.ok(await eventually(() => runner.unreachableStarts > 0));
     cellOf(this).replaceRunner(worker);
     runner.dark = false;
     const reaches = (): boolean => (worker.lives.at(-1)?.starts.length ?? 0) > 0;
     assert.ok(await eventually(reaches));
     // Looks of the life before come to the new one until its heartbeat does.
     await pause(1500);
-    worker.mute = false;
+    worker.isHeartbeatMuted = false;
   },
 );
 
@@ -250,7 +250,7 @@
   { timeout: 20_000 },
   async function (this: CellSteps) {
     const cell = cellOf(this);
-    cell.entries.splice(0).forEach((entry) => loseEntry(entry));
+    cell.entries.splice(0).forEach((entry) => crashEntry(entry));
     cell.workers.forEach((worker) => {
       cell.replaceRunner(worker);
       restartGuard(worker);
@@ -273,5 +273,5 @@
 });
 
 Then('no two runs of a task worked at the same time', function (this: CellSteps) {
-  assert.deepEqual(cellOf(this).overlaps, []);
+  assert.deepEqual(cellOf(this).overlappingRuns, []);
 });
--- a/packages/cell/src/owner/room-maker.ts
+++ b/packages/cell/src/owner/room-maker.ts
@@ -1,7 +1,7 @@
 /** Whose runs are stopped so that a group which found no room gets some. */
-import { byUrgency, type Standing } from '../placing/order.js';
-import { planRoom } from '../placing/reclaim.js';
-import type { RoomLedger } from '../placing/room-ledger.js';
+import { compareByUrgency, type UrgencyFactors } from '../placing/job-urgency.js';
+import { planPreemption } from '../placing/preemption.js';
+import type { CapacityLedger } from '../placing/capacity-ledger.js';
 import type { Candidate } from './candidates.js';
 import type { OwnedJob } from './owned-job.js';
 import type { Occupant, PassInput, Stop } from './pass-input.js';
@@ -33,12 +33,12 @@
 
   readonly #input: PassInput;
 
-  readonly #ledger: RoomLedger;
+  readonly #ledger: CapacityLedger;
 
   /** Standings of jobs whose runs may be stopped: each is worked out once, though many groups look at it. */
-  readonly #standings = new Map<OwnedJob, Standing>();
+  readonly #standings = new Map<OwnedJob, UrgencyFactors>();
 
-  constructor(input: PassInput, ledger: RoomLedger) {
+  constructor(input: PassInput, ledger: CapacityLedger) {
     this.#input = input;
     this.#ledger = ledger;
   }
@@ -53,29 +53,32 @@
     if (!standing.claim && !this.#mayStopOthers(wanted.job, standing)) return lacking;
     const victims = this.#victimsFor(standing, wanted.job);
     const mostLoss = standing.claim ? Infinity : PREEMPT_LOSS;
-    const plan = planRoom(lacking.group, this.#ledger.coming, victims, mostLoss);
+    const plan = planPreemption(lacking.group, this.#ledger.projected, victims, mostLoss);
     if (plan === undefined) return lacking;
     const isDear = standing.claim && plan.loss > CHEAP_LOSS;
     if (isDear && this.#canWait(wanted, standing)) return lacking;
     const chosen = victims.filter((occupant) => plan.victims.includes(occupant));
     chosen.forEach((occupant) => {
       this.stops.push({ occupant, forJob: wanted.job });
-      this.#ledger.noteStopping(occupant.members);
+      this.#ledger.addStopping(occupant.members);
     });
     return this.#promise(lacking);
   }
 
   /** Keeps what will come for it; answers what is left without, undefined if nothing is. */
   #promise(wanted: WantedGroup): WantedGroup | undefined {
-    return withoutPlaced(wanted, this.#ledger.promise(wanted.group));
+    return withoutPlaced(wanted, this.#ledger.reserve(wanted.group));
   }
 
-  #mayStopOthers({ madeRoomAt }: OwnedJob, { ageMs, objectiveMs }: Standing): boolean {
+  #mayStopOthers({ madeRoomAt }: OwnedJob, { ageMs, objectiveMs }: UrgencyFactors): boolean {
     return this.#input.now - madeRoomAt >= PREEMPT_PAUSE_MS && ageMs <= objectiveMs;
   }
 
   /** Room may come by itself before the claim has to be met. */
-  #canWait({ readySince }: WantedGroup, { ageMs, leftChainMs, objectiveMs }: Standing): boolean {
+  #canWait(
+    { readySince }: WantedGroup,
+    { ageMs, remainingCriticalPathMs: leftChainMs, objectiveMs }: UrgencyFactors,
+  ): boolean {
     const { reclaimMs, stopMs } = this.#input.bounds;
     const waitedMs = Math.max(ageMs, this.#input.now - readySince);
     if (waitedMs >= reclaimMs - stopMs - RECLAIM_SLACK_MS) return false;
@@ -83,22 +86,22 @@
   }
 
   /** Outside a guarantee only those that come after it: others would take the room at once. */
-  #victimsFor(standing: Standing, job: OwnedJob): Occupant[] {
+  #victimsFor(standing: UrgencyFactors, job: OwnedJob): Occupant[] {
     return this.#input.occupants.filter((occupant) => {
       if (occupant.isProtected || this.#isStopping(occupant) || occupant.job === job) return false;
       if (standing.claim) return true;
       if (occupant.job.terms.priority <= standing.priority) return false;
-      return byUrgency(standing, this.#standingOf(occupant.job)) < 0;
+      return compareByUrgency(standing, this.#standingOf(occupant.job)) < 0;
     });
   }
 
-  #standingOf(job: OwnedJob): Standing {
+  #standingOf(job: OwnedJob): UrgencyFactors {
     const known = this.#standings.get(job) ?? this.#workOutStanding(job);
     this.#standings.set(job, known);
     return known;
   }
 
-  #workOutStanding(job: OwnedJob): Standing {
+  #workOutStanding(job: OwnedJob): UrgencyFactors {
     const { wallMs, means, durations, claims } = this.#input;
     const occurrence = job.progress.occurrences[0]?.index ?? 0;
     return standingOf(job, { claim: claims.has(job), wallMs, means, durations, occurrence });
--- a/packages/cell/src/owner/run-book.ts
+++ b/packages/cell/src/owner/run-book.ts
@@ -5,7 +5,7 @@
 import type { RunCrash, RunEnd } from '../job/progress.js';
 import type { Step } from '../job/submission.js';
 import { taskName } from '../job/task-name.js';
-import type { DurationBook } from '../placing/duration-book.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
 import { FleetHealth } from '../worker/fleet-health.js';
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { Fleet } from './fleet.js';
@@ -40,7 +40,7 @@
 
   readonly #ctx: ProcessContext;
 
-  readonly #durations: DurationBook;
+  readonly #durations: DurationEstimator;
 
   readonly #health: FleetHealth;
 
@@ -60,7 +60,7 @@
     ctx: ProcessContext;
     fleet: Fleet;
     advice: AdviceBook;
-    durations: DurationBook;
+    durations: DurationEstimator;
     events: RunBookEvents;
   }) {
     this.#ctx = ctx;
@@ -108,7 +108,7 @@
   /** Opens occurrences that are due. */
   openDue(wallMs: number): void {
     this.jobs.forEach((job) => {
-      if (job.progress.openDue(wallMs)) this.#changed(job);
+      if (job.progress.openDueOccurrences(wallMs)) this.#changed(job);
     });
   }
 
@@ -167,7 +167,7 @@
 
   /** Counts a runner's crash against one run's task. False if that says nothing new. */
   noteCrash(job: OwnedJob, crash: RunCrash): boolean {
-    if (!job.progress.noteCrash(crash)) return false;
+    if (!job.progress.recordCrash(crash)) return false;
     this.#changed(job);
     this.#ctx.metrics.count('run.crashed');
     if (job.progress.outcome !== 'open') {
@@ -215,7 +215,7 @@
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId, ref, run, checkpoint }) => {
         const job = this.jobs.get(jobId);
-        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#changed(job);
+        if (job?.progress.recordCheckpoint({ ref, run, checkpoint })) this.#changed(job);
       }),
     );
   }
@@ -335,7 +335,7 @@
     if (step === undefined || step.lasting || runningAt === undefined || resumed) return;
     const { estimateMs } = step;
     const actualMs = this.now() - runningAt;
-    this.#durations.noteRun(job.submission.queue, { estimateMs, actualMs });
+    this.#durations.recordRun(job.submission.queue, { estimateMs, actualMs });
     job.noteTook(step, actualMs);
   }
 
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -3,10 +3,10 @@
 import { AdviceBook } from '../advice/advice-book.js';
 import type { AdviceQuestion } from '../advice/advice-desk.js';
 import type { CellConfig } from '../config/cell-config.js';
-import type { KnownJob } from '../job/job-view.js';
+import type { JobSnapshot } from '../job/job-view.js';
 import type { EvacuationChange, Evacuations } from '../evacuation/evacuations.js';
 import { withdrawStarts } from '../evacuation/withdrawal.js';
-import { DurationBook } from '../placing/duration-book.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
 import { Fleet } from './fleet.js';
 import { findOccupants } from './occupants.js';
 import { OwnedJob } from './owned-job.js';
@@ -53,7 +53,7 @@
 
   readonly #means = new QueueMeans();
 
-  readonly #durations = new DurationBook();
+  readonly #durations = new DurationEstimator();
 
   readonly #startedAt: number;
 
@@ -73,11 +73,11 @@
   }
 
   /** Takes a job in, with the runs that an earlier owner wrote down. */
-  add(known: KnownJob): void {
+  add(known: JobSnapshot): void {
     const { submission } = known;
     const job = new OwnedJob(known);
     submission.steps.forEach(({ estimateMs }) =>
-      this.#durations.noteEstimate(submission.queue, estimateMs),
+      this.#durations.recordEstimate(submission.queue, estimateMs),
     );
     const expectedMs = durationsOf(job, this.#durations);
     this.#means.note(submission.queue, totalWork(submission.steps, expectedMs));
--- a/packages/cell/src/owner/standings.steps.ts
+++ b/packages/cell/src/owner/standings.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { DurationBook } from '../placing/duration-book.js';
-import { urgencyOf, type Standing } from '../placing/order.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
+import { urgencyOf, type UrgencyFactors } from '../placing/job-urgency.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import type { OwnedJob } from './owned-job.js';
 import { QueueMeans, objectiveMs, standingOf } from './standings.js';
@@ -10,12 +10,12 @@
   standingJob: OwnedJob;
 }
 
-function standingAt({ standingJob }: StandingSteps, ageMs: number): Standing {
+function standingAt({ standingJob }: StandingSteps, ageMs: number): UrgencyFactors {
   return standingOf(standingJob, {
     claim: false,
     wallMs: ageMs,
     means: new QueueMeans(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     occurrence: 0,
   });
 }
@@ -52,7 +52,7 @@
 });
 
 Then('its objective is {int} ms', function (this: StandingSteps, expected: number) {
-  assert.equal(Math.round(objectiveMs(this.standingJob, new DurationBook())), expected);
+  assert.equal(Math.round(objectiveMs(this.standingJob, new DurationEstimator())), expected);
 });
 
 Then(
--- a/packages/cell/src/owner/standings.ts
+++ b/packages/cell/src/owner/standings.ts
@@ -1,8 +1,8 @@
 /** What the order of placing needs to know of each job. */
 import type { StepProgress } from '../job/progress.js';
-import { longestChainMs, type Demand, type Step } from '../job/submission.js';
-import type { DurationBook } from '../placing/duration-book.js';
-import type { Standing } from '../placing/order.js';
+import { criticalPathMs, type Demand, type Step } from '../job/submission.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
+import type { UrgencyFactors } from '../placing/job-urgency.js';
 import type { OwnedJob } from './owned-job.js';
 
 /** Cores that count as one accelerator in a job's work: the platform's own weight. */
@@ -35,7 +35,7 @@
  * How long a task of each step of the job is expected to take, in ms: as long as one of that step took, and before that
  * what the queue's tasks make of its estimate, which may be off by a factor of three.
  */
-export function durationsOf(job: OwnedJob, durations: DurationBook): (step: Step) => number {
+export function durationsOf(job: OwnedJob, durations: DurationEstimator): (step: Step) => number {
   return (step) => job.tookMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
 }
 
@@ -62,11 +62,11 @@
  * From its acceptance a job should take no longer than this, as far as can be told, in ms. Runs that failed count as part of
  * its work, as in the contract: otherwise a gang that has failed once counts as late and comes after all others.
  */
-export function objectiveMs(job: OwnedJob, durations: DurationBook, occurrence = 0): number {
+export function objectiveMs(job: OwnedJob, durations: DurationEstimator, occurrence = 0): number {
   const { submission, terms, progress } = job;
   const expectedMs = durationsOf(job, durations);
   const steps = progress.occurrences.find(({ index }) => index === occurrence)?.steps ?? [];
-  const chainMs = longestChainMs(
+  const chainMs = criticalPathMs(
     submission.steps,
     (step, index) => (1 + failedRuns(steps[index])) * expectedMs(step),
   );
@@ -107,10 +107,10 @@
     claim: boolean;
     wallMs: number;
     means: QueueMeans;
-    durations: DurationBook;
+    durations: DurationEstimator;
     occurrence: number;
   },
-): Standing {
+): UrgencyFactors {
   const expectedMs = durationsOf(job, durations);
   const { submission, terms, progress } = job;
   const { schedule, steps } = submission;
@@ -128,11 +128,11 @@
     priority: terms.priority,
     claim,
     totalWork: totalWork(steps, expectedMs),
-    leftWork,
+    remainingWork: leftWork,
     meanWork: means.of(submission.queue),
     ageMs: Math.max(0, wallMs - dueMs),
     objectiveMs: objectiveMs(job, durations, occurrence),
-    leftChainMs: Math.max(0, ...leftSteps.map(expectedMs)),
+    remainingCriticalPathMs: Math.max(0, ...leftSteps.map(expectedMs)),
   };
 }
 
--- a/packages/cell/src/owner/waiting-report.steps.ts
+++ b/packages/cell/src/owner/waiting-report.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { eventually } from '../testing/cell-world.support.js';
+import { eventually } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, hasBegun, type CellSteps } from './cell-steps.support.js';
 
--- a/packages/cell/src/owner/wanted-groups.steps.ts
+++ b/packages/cell/src/owner/wanted-groups.steps.ts
@@ -70,7 +70,9 @@
     const run = progress.startRuns(tasks.map((ref) => ({ ref, vm: 'vm', runner: 'life' })));
     const [, second] = tasks;
     assert.ok(second);
-    assert.ok(progress.noteCrash({ ref: second, run, ranMs: 10, isAlone: true, livedMs: 60_000 }));
+    assert.ok(
+      progress.recordCrash({ ref: second, run, ranMs: 10, isAlone: true, livedMs: 60_000 }),
+    );
     tasks.forEach((ref) => {
       const how = done !== null && ref === second ? 'done' : 'lost';
       progress.endRun({ ref, run, how, checkpoint: '' }, { maxAttempts: 2 });
--- a/packages/cell/src/owner/wanted-groups.ts
+++ b/packages/cell/src/owner/wanted-groups.ts
@@ -1,8 +1,8 @@
 /** The groups of a job that wait for room. */
-import { SUSPECT_WITHIN_MS, isSuspect } from '../job/crash-record.js';
+import { MAX_SUSPECT_AGE_MS, isSuspect } from '../job/crash-record.js';
 import { isStepReady, type Occurrence, type StepProgress } from '../job/progress.js';
 import type { Step } from '../job/submission.js';
-import type { Group, Placed } from '../placing/room.js';
+import type { TaskGroup, TaskPlacement } from '../placing/available-worker.js';
 import type { OwnedJob } from './owned-job.js';
 import { roomDemand } from './standings.js';
 
@@ -19,7 +19,7 @@
  * How long a task that may crash its runner waits for a worker where nothing else has just been started, in ms: longer than a
  * run counts as just started, and no longer, as a busy service may never have such a worker and the task may be innocent.
  */
-const TRIAL_WAIT_MS = SUSPECT_WITHIN_MS + 500;
+const TRIAL_WAIT_MS = MAX_SUSPECT_AGE_MS + 500;
 
 /** What the wait for a rack depends on. */
 export interface RackPatience {
@@ -35,7 +35,7 @@
 export interface WantedGroup {
   job: OwnedJob;
   step: Step;
-  group: Group;
+  group: TaskGroup;
   readySince: number;
 }
 
@@ -147,7 +147,7 @@
 /** The tasks that weren't placed; undefined if all were. */
 export function withoutPlaced(
   wanted: WantedGroup,
-  placed: readonly Placed[],
+  placed: readonly TaskPlacement[],
 ): WantedGroup | undefined {
   const started = new Set(placed.map(({ index }) => index));
   const indexes = wanted.group.indexes.filter((index) => !started.has(index));
--- a/packages/cell/src/pacing/pacing.steps.ts
+++ b/packages/cell/src/pacing/pacing.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { CellWorld, eventually, submit } from '../testing/cell-world.support.js';
+import { TestCell, eventually, submitJob } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import type { Step } from '../job/submission.js';
 import { Pacer } from './pacer.js';
@@ -10,7 +10,7 @@
   targetMs: number;
   now: number;
   paces: number[];
-  pacingCell?: CellWorld;
+  pacingCell?: TestCell;
 }
 
 const LOOK_EVERY_MS = 250;
@@ -37,11 +37,11 @@
   assert.deepEqual(this.paces, list.split(', ').map(Number));
 });
 
-async function handIn(cell: CellWorld, step: Partial<Step>, spec: object): Promise<string> {
+async function handIn(cell: TestCell, step: Partial<Step>, spec: object): Promise<string> {
   const [entry] = cell.entries;
   assert.ok(entry);
   const id = cell.newJobId();
-  assert.equal(await submit(entry, id, { steps: [testStep(step)], spec }), 'accepted');
+  assert.equal(await submitJob(entry, id, { steps: [testStep(step)], spec }), 'accepted');
   const isRunning = (): boolean => cell.starts(id).length > 0;
   assert.ok(await eventually(isRunning));
   return id;
@@ -55,7 +55,7 @@
 Given(
   'a cell with one worker, on which a task serves with a target of {int} ms',
   async function (this: PacingSteps, targetMs: number) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.pacingCell = cell;
     await cell.start(1, 1);
     await handIn(cell, { lasting: true, targetMs }, { servesMs: 40 });
--- a/packages/cell/src/placing/placing-steps.support.ts
+++ b/packages/cell/src/placing/placing-steps.support.ts
@@ -1,53 +1,53 @@
-/** What steps about placing have in common. */
+/** Shared by the steps about placement. */
 import assert from 'node:assert/strict';
 import type { Demand } from '../job/submission.js';
-import type { RoomPlan, Victim } from './reclaim.js';
-import { Room, type Group, type Placed } from './room.js';
+import type { PreemptionPlan, Victim } from './preemption.js';
+import { AvailableWorker, type TaskGroup, type TaskPlacement } from './available-worker.js';
 
-/** What the steps of a scenario share. */
+/** State of a scenario. */
 export interface PlacingSteps {
-  rooms: Room[];
+  workers: AvailableWorker[];
   victims: Victim[];
-  placed: Placed[];
-  plan: RoomPlan | undefined;
+  placements: TaskPlacement[];
+  plan: PreemptionPlan | undefined;
   order: string[];
 }
 
-/** Room of so many accelerators and nothing else. */
-export function accelerators(count: number): Demand {
+/** A demand of accelerators only. */
+export function acceleratorDemand(count: number): Demand {
   return { milliCores: 0, memoryMb: 0, accelerators: count };
 }
 
-/** The numbers in a text. */
-export function numbers(list: string): number[] {
+/** All numbers in a text. */
+export function parseNumbers(list: string): number[] {
   return (list.match(/\d+/g) ?? []).map(Number);
 }
 
-/** Workers with so many of 8 accelerators free. */
-export function newRooms(free: readonly number[], perRack: number): Room[] {
+/** Workers of 8 accelerators each, of which the given numbers are free. */
+export function newWorkers(free: readonly number[], perRack: number): AvailableWorker[] {
   return free.map(
     (count, index) =>
-      new Room({
+      new AvailableWorker({
         vm: `worker ${index + 1}`,
         runner: `runner ${index + 1}`,
         rack: `r${Math.floor(index / perRack)}`,
         labels: [],
         service: 'render',
-        free: accelerators(count),
-        capacity: accelerators(8),
+        free: acceleratorDemand(count),
+        capacity: acceleratorDemand(8),
       }),
   );
 }
 
-/** Tasks of one step that work alone, unless said otherwise. */
-export function newGroup(tasks: number, each: number, change: Partial<Group> = {}): Group {
+/** Independent tasks of one step, unless changed. */
+export function newGroup(tasks: number, each: number, change: Partial<TaskGroup> = {}): TaskGroup {
   return {
     jobId: 'job',
     occurrence: 0,
     step: 0,
     indexes: Array.from({ length: tasks }, (_, index) => index),
     service: 'render',
-    demand: accelerators(each),
+    demand: acceleratorDemand(each),
     gang: false,
     oneRack: false,
     rack: undefined,
@@ -62,9 +62,9 @@
   };
 }
 
-/** The room on a worker, by its number. */
-export function roomOf({ rooms }: PlacingSteps, worker: number): Room {
-  const room = rooms[worker - 1];
-  assert.ok(room);
-  return room;
+/** A worker by its number, from 1. */
+export function workerAt({ workers }: PlacingSteps, number: number): AvailableWorker {
+  const worker = workers[number - 1];
+  assert.ok(worker);
+  return worker;
 }
--- a/packages/cell/src/placing/placing.steps.ts
+++ b/packages/cell/src/placing/placing.steps.ts
@@ -1,31 +1,31 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { placeGroup } from './fit.js';
-import { byUrgency, type Standing } from './order.js';
+import { placeGroup } from './best-fit.js';
+import { compareByUrgency, type UrgencyFactors } from './job-urgency.js';
 import {
-  accelerators,
+  acceleratorDemand,
   newGroup,
-  newRooms,
-  numbers,
+  newWorkers,
+  parseNumbers,
   type PlacingSteps,
 } from './placing-steps.support.js';
-import { planRoom } from './reclaim.js';
+import { planPreemption } from './preemption.js';
 
-const STANDING: Standing = {
+const DEFAULT_FACTORS: UrgencyFactors = {
   priority: 1,
   claim: false,
   totalWork: 10_000,
-  leftWork: 10_000,
+  remainingWork: 10_000,
   meanWork: 10_000,
   ageMs: 0,
   objectiveMs: 10_000,
-  leftChainMs: 1000,
+  remainingCriticalPathMs: 1000,
 };
 
-function order(world: PlacingSteps, standings: Record<string, Standing>): void {
+function sortByUrgency(world: PlacingSteps, standings: Record<string, UrgencyFactors>): void {
   Object.assign(world, {
     order: Object.entries(standings)
-      .sort(([, a], [, b]) => byUrgency(a, b))
+      .sort(([, a], [, b]) => compareByUrgency(a, b))
       .map(([name]) => name),
   });
 }
@@ -33,7 +33,7 @@
 Given(
   /^workers with ([\d, and]+) free accelerators(, two to a rack)?$/,
   function (this: PlacingSteps, free: string, racks: string | null) {
-    this.rooms = newRooms(numbers(free), racks === null ? 1 : 2);
+    this.workers = newWorkers(parseNumbers(free), racks === null ? 1 : 2);
   },
 );
 
@@ -43,7 +43,7 @@
     this.victims = [first, second].map((loss, index) => ({
       key: `${loss}`,
       loss,
-      members: [{ vm: `worker ${index + 1}`, demand: accelerators(8) }],
+      members: [{ vm: `worker ${index + 1}`, demand: acceleratorDemand(8) }],
     }));
   },
 );
@@ -51,12 +51,12 @@
 Given(
   /^runs of ([\d, and]+) accelerators on workers ([\d, and]+) that would lose ([\d, and]+)$/,
   function (this: PlacingSteps, sizes: string, workers: string, losses: string) {
-    const vms = numbers(workers);
-    const loss = numbers(losses);
-    this.victims = numbers(sizes).map((size, index) => ({
+    const vms = parseNumbers(workers);
+    const loss = parseNumbers(losses);
+    this.victims = parseNumbers(sizes).map((size, index) => ({
       key: `${loss[index]}`,
       loss: loss[index] ?? 0,
-      members: [{ vm: `worker ${vms[index]}`, demand: accelerators(size) }],
+      members: [{ vm: `worker ${vms[index]}`, demand: acceleratorDemand(size) }],
     }));
   },
 );
@@ -71,51 +71,51 @@
     oneRack: string | null,
   ) {
     const change = { gang: gang !== null, oneRack: oneRack !== null };
-    this.placed = placeGroup(newGroup(Number(tasks), Number(each), change), this.rooms);
+    this.placements = placeGroup(newGroup(Number(tasks), Number(each), change), this.workers);
   },
 );
 
 When(
-  'room is sought for {int} task(s) of {int} accelerators',
+  'a preemption plan is made for {int} task(s) of {int} accelerators',
   function (this: PlacingSteps, tasks: number, each: number) {
-    this.plan = planRoom(newGroup(tasks, each), this.rooms, this.victims);
+    this.plan = planPreemption(newGroup(tasks, each), this.workers, this.victims);
   },
 );
 
-When('a small urgent job and a large one that waits are ordered', function (this: PlacingSteps) {
-  order(this, {
-    large: { ...STANDING, totalWork: 90_000, leftWork: 90_000 },
-    small: { ...STANDING, priority: 0, totalWork: 2000, leftWork: 2000 },
+When('a small urgent job and a large waiting one are ordered', function (this: PlacingSteps) {
+  sortByUrgency(this, {
+    large: { ...DEFAULT_FACTORS, totalWork: 90_000, remainingWork: 90_000 },
+    small: { ...DEFAULT_FACTORS, priority: 0, totalWork: 2000, remainingWork: 2000 },
   });
 });
 
 When(
-  'a job past all use and one of lower priority in time are ordered',
+  'a job that is too late and a timely one of lower priority are ordered',
   function (this: PlacingSteps) {
-    order(this, {
-      past: { ...STANDING, priority: 0, ageMs: 40_000 },
-      'in time': { ...STANDING, priority: 2 },
+    sortByUrgency(this, {
+      late: { ...DEFAULT_FACTORS, priority: 0, ageMs: 40_000 },
+      timely: { ...DEFAULT_FACTORS, priority: 2 },
     });
   },
 );
 
-When('a claim and a job of more worth are ordered', function (this: PlacingSteps) {
-  order(this, {
-    other: { ...STANDING, priority: 0, totalWork: 1000, leftWork: 1000 },
-    claim: { ...STANDING, claim: true, totalWork: 90_000, leftWork: 90_000 },
+When('a claim and a job of higher value are ordered', function (this: PlacingSteps) {
+  sortByUrgency(this, {
+    other: { ...DEFAULT_FACTORS, priority: 0, totalWork: 1000, remainingWork: 1000 },
+    claim: { ...DEFAULT_FACTORS, claim: true, totalWork: 90_000, remainingWork: 90_000 },
   });
 });
 
-Then(/^they go to workers? ([\d, and]+)$/, function (this: PlacingSteps, list: string) {
-  const vms = new Set(this.placed.map(({ vm }) => vm));
+Then(/^they are placed on workers? ([\d, and]+)$/, function (this: PlacingSteps, list: string) {
+  const vms = new Set(this.placements.map(({ vm }) => vm));
   assert.deepEqual(
     [...vms].sort(),
-    numbers(list).map((each) => `worker ${each}`),
+    parseNumbers(list).map((each) => `worker ${each}`),
   );
 });
 
 Then('nothing is placed', function (this: PlacingSteps) {
-  assert.deepEqual(this.placed, []);
+  assert.deepEqual(this.placements, []);
 });
 
 Then('the run that would lose {int} is stopped', function (this: PlacingSteps, loss: number) {
@@ -126,9 +126,9 @@
 });
 
 Then(
-  /^the (small urgent one|one in time|claim) comes first$/,
+  /^the (small urgent one|timely one|claim) comes first$/,
   function (this: PlacingSteps, which: string) {
-    const names: Record<string, string> = { 'small urgent one': 'small', 'one in time': 'in time' };
+    const names: Record<string, string> = { 'small urgent one': 'small', 'timely one': 'timely' };
     assert.equal(this.order[0], names[which] ?? which);
   },
 );
--- a/packages/cell/src/testing/log-keeper.support.ts
+++ b/packages/cell/src/testing/log-recorder.support.ts
@@ -5,19 +5,19 @@
 export type LoggedLine = Record<string, unknown> & { msg: string; by: string; at: number };
 
 /** Lines of all processes that were given its logger. */
-export class LogKeeper {
+export class LogRecorder {
   readonly lines: LoggedLine[] = [];
 
   /** For the context of the process with this name. */
-  logOf(by: string): Log {
-    const keep = (fields: object, msg: string): void => {
+  logFor(by: string): Log {
+    const record = (fields: object, msg: string): void => {
       this.lines.push({ ...fields, msg, by, at: performance.now() });
     };
-    return { info: keep, warn: keep, error: keep };
+    return { info: record, warn: record, error: record };
   }
 
   /** All lines with this message, the oldest first. */
-  of(msg: string): LoggedLine[] {
+  withMessage(msg: string): LoggedLine[] {
     return this.lines.filter((line) => line.msg === msg);
   }
 }
--- a/packages/cell/src/testing/memory-row-store.support.ts
+++ b/packages/cell/src/testing/memory-row-store.support.ts
@@ -12,13 +12,13 @@
 /** What this process's calls meet. `lost`: writes are done and not answered. */
 export type StoreFault = 'none' | 'silent' | 'refuse' | 'lost';
 
-const ANSWER_MS = 2;
+const DEFAULT_ANSWER_MS = 2;
 
 /** A feed that stands still fails after this long, in ms. */
 const FROZEN_FEED_MS = 500;
 
 /** When the last transaction that takes its turn on these tables is done. */
-const turns = new WeakMap<RowTables, Promise<void>>();
+const lastTurns = new WeakMap<RowTables, Promise<void>>();
 
 /** One process's way to the tables that all share. */
 export class MemoryRowStore implements RowStore {
@@ -28,13 +28,13 @@
   feedStandsStill = false;
 
   /** Time of a call, in ms. */
-  answerMs = ANSWER_MS;
+  answerMs = DEFAULT_ANSWER_MS;
 
   /** Transactions of all processes are done one after another, each in this time, in ms; 0: at once. */
   turnMs = 0;
 
   /** Reads of ranges that begin with this key fail although everything else is answered. */
-  unreadableFrom: string | undefined;
+  unreadableRangeStart: string | undefined;
 
   /** Calls so far: what they were, and on which table. */
   readonly calls: { kind: 'read' | 'feed' | 'transact'; table: string }[] = [];
@@ -52,19 +52,19 @@
     this.calls.push({ kind: 'transact', table: tx.set[0]?.table ?? '' });
     if (this.fault === 'refuse') return { outcome: 'refused', detail: 'told to refuse' };
     if (this.fault === 'silent') {
-      return silence(timeoutMs, { outcome: 'unknown', detail: 'silent' });
+      return delayed(timeoutMs, { outcome: 'unknown', detail: 'silent' });
     }
     await pause(this.answerMs);
-    if (this.turnMs > 0) await this.#takeTurn();
+    if (this.turnMs > 0) await this.#awaitTurn();
     const result = this.#tables.transact({ ...tx, remove: tx.remove ?? [] });
     if (result.outcome === 'done') this.onDone(tx);
-    if (this.fault === 'lost') return silence(timeoutMs, { outcome: 'unknown', detail: 'lost' });
+    if (this.fault === 'lost') return delayed(timeoutMs, { outcome: 'unknown', detail: 'lost' });
     return result;
   }
 
-  async #takeTurn(): Promise<void> {
-    const turn = (turns.get(this.#tables) ?? Promise.resolve()).then(() => pause(this.turnMs));
-    turns.set(this.#tables, turn);
+  async #awaitTurn(): Promise<void> {
+    const turn = (lastTurns.get(this.#tables) ?? Promise.resolve()).then(() => pause(this.turnMs));
+    lastTurns.set(this.#tables, turn);
     await turn;
   }
 
@@ -73,9 +73,9 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<ReadResult> {
     this.calls.push({ kind: 'read', table: range.table });
-    if (this.fault === 'silent') return silence(timeoutMs, { outcome: 'failed', detail: 'silent' });
+    if (this.fault === 'silent') return delayed(timeoutMs, { outcome: 'failed', detail: 'silent' });
     if (this.fault === 'refuse') return { outcome: 'failed', detail: 'told to refuse' };
-    if (range.from === this.unreadableFrom && range.from !== undefined) {
+    if (range.from === this.unreadableRangeStart && range.from !== undefined) {
       return { outcome: 'failed', detail: 'told not to answer' };
     }
     await pause(this.answerMs);
@@ -88,10 +88,10 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<FeedResult> {
     this.calls.push({ kind: 'feed', table });
-    if (this.fault === 'silent') return silence(timeoutMs, { outcome: 'failed', detail: 'silent' });
+    if (this.fault === 'silent') return delayed(timeoutMs, { outcome: 'failed', detail: 'silent' });
     if (this.fault === 'refuse') return { outcome: 'failed', detail: 'told to refuse' };
     if (this.feedStandsStill) {
-      return silence(FROZEN_FEED_MS, { outcome: 'failed', detail: 'frozen' });
+      return delayed(FROZEN_FEED_MS, { outcome: 'failed', detail: 'frozen' });
     }
     await this.#tables.changed(table, after, waitMs);
     const rows = this.#tables.changes(table, after);
@@ -100,7 +100,7 @@
   }
 }
 
-async function silence<T>(timeoutMs: number, result: T): Promise<T> {
+async function delayed<T>(timeoutMs: number, result: T): Promise<T> {
   await pause(timeoutMs);
   return result;
 }
--- a/packages/cell/src/testing/memory-runner.support.ts
+++ b/packages/cell/src/testing/memory-runner.support.ts
@@ -16,10 +16,10 @@
   lateStartsMs: number | undefined;
 
   /** Starts that were sent while no call got through, and have been given up. */
-  startsWithoutAnswer = 0;
+  unreachableStarts = 0;
 
   /** Starts that got no answer for that. */
-  lateCalls = 0;
+  lateStarts = 0;
 
   /** So many starts have their connections reset, each second one only after it was carried out. */
   resetStarts = 0;
@@ -36,14 +36,14 @@
     const { lateStartsMs } = this;
     const target = this.#target(life);
     if (target === undefined) {
-      const answer = await this.#noTarget(timeoutMs);
-      if (answer.outcome === 'no-answer') this.startsWithoutAnswer += 1;
+      const answer = await this.#answerWithoutTarget(timeoutMs);
+      if (answer.outcome === 'no-answer') this.unreachableStarts += 1;
       return answer;
     }
     if (lateStartsMs !== undefined) {
       // By then another life may be there, and takes it if it has the id that the call was meant for.
       setTimeout(() => this.#target(life)?.start(order), lateStartsMs);
-      this.lateCalls += 1;
+      this.lateStarts += 1;
       await pause(timeoutMs);
       return { outcome: 'no-answer', detail: 'late' };
     }
@@ -53,9 +53,9 @@
       if (this.resetStarts % 2 === 0) target.start(order);
       return { outcome: 'no-answer', detail: 'connection reset' };
     }
-    const word = target.start(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.start(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async stop(
@@ -64,11 +64,11 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.stop(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.stop(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async pace(
@@ -77,11 +77,11 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.pace(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.pace(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async look(
@@ -90,12 +90,12 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer<Listing>> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.hold({ term, confirmed, deadlineMs });
-    if (word !== 'ok') return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.hold({ term, confirmed, deadlineMs });
+    if (reply !== 'ok') return { outcome: 'refused', reason: reply, detail: reply };
     if (waitMs > 0) await target.ended(waitMs);
-    if (this.#target(life) === undefined) return this.#noTarget(0);
+    if (this.#target(life) === undefined) return this.#answerWithoutTarget(0);
     return {
       outcome: 'ok',
       clockMs: target.clockMs,
@@ -109,7 +109,7 @@
     return !this.dark && this.life?.id === id ? this.life : undefined;
   }
 
-  async #noTarget(
+  async #answerWithoutTarget(
     timeoutMs: number,
   ): Promise<{ outcome: 'wrong-life' } | { outcome: 'no-answer'; detail: string }> {
     if (!this.dark && this.life !== undefined) return { outcome: 'wrong-life' };
--- a/packages/cell/src/testing/cell-world.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -9,9 +9,15 @@
 import type { JobProgress } from '../job/progress.js';
 import type { JobRequest, Step } from '../job/submission.js';
 import { OWNER_KEY, unpackOwner } from '../owner/owner-row.js';
-import { HOST, KEY, PREFIX, TEST_QUEUE, testStep } from './test-jobs.support.js';
+import {
+  TEST_HOST,
+  TEST_API_KEY,
+  TEST_PATH_PREFIX,
+  TEST_QUEUE,
+  testStep,
+} from './test-jobs.support.js';
 import type { RowKey, Transaction } from '../store/row-store.js';
-import { LogKeeper, type LoggedLine } from './log-keeper.support.js';
+import { LogRecorder, type LoggedLine } from './log-recorder.support.js';
 import { TEST_EVACUATION_SOURCE } from './test-evacuations.support.js';
 import { MemoryRowStore } from './memory-row-store.support.js';
 import { MemoryRunner } from './memory-runner.support.js';
@@ -21,8 +27,8 @@
   restartGuard,
   sendHeartbeat,
   startGuard,
-  type WorkerVm,
-} from './worker-vm.support.js';
+  type TestWorker,
+} from './test-worker.support.js';
 import { pause } from '../clock/pause.js';
 
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
@@ -35,12 +41,12 @@
 const ACCELERATORS = 8;
 
 /** A runner that a task crashed is back as another life after this time, in ms. */
-const AWAY_MS = 300;
+const RUNNER_RESTART_MS = 300;
 
 /** An answer of the emulated advisor takes this long. */
 const ADVICE_MS = 20;
 
-interface EntryVm {
+interface TestEntry {
   id: string;
   app: EntryApp;
   store: MemoryRowStore;
@@ -49,65 +55,65 @@
 
 /** The host's clocks, with a time of day that can be made to jump. */
 class SteppedClock extends SystemClock {
-  aheadMs = 0;
+  wallOffsetMs = 0;
 
   override wall(): number {
-    return super.wall() + this.aheadMs;
+    return super.wall() + this.wallOffsetMs;
   }
 }
 
 /** A cell that runs until `stop`. */
-export class CellWorld {
+export class TestCell {
   readonly tables = new RowTables();
 
-  readonly board = new GangBoard();
+  readonly gangBoard = new GangBoard();
 
-  readonly entries: EntryVm[] = [];
+  readonly entries: TestEntry[] = [];
 
-  readonly workers: WorkerVm[] = [];
+  readonly workers: TestWorker[] = [];
 
   keepEndedMs = 600_000;
 
-  readonly #log = new LogKeeper();
+  readonly #log = new LogRecorder();
 
   /** Of all entries. */
   readonly clock = new SteppedClock();
 
   /** Where a task crashes a runner, the guard beside it is started anew before the runner is back. */
-  crashesTakeGuards = false;
+  crashesRestartGuards = false;
 
   /** A runner that starts again keeps its id, as it may on the platform; otherwise each life has an id of its own. */
-  keepsIds = false;
+  reusesRunnerIds = false;
 
   /** How far the time of day of runners that start is behind, in ms. */
-  runnersBehindMs = 0;
+  runnerClockLagMs = 0;
 
   /** Runs that worked at the same time as another run of their task. */
-  readonly overlaps: string[] = [];
+  readonly overlappingRuns: string[] = [];
 
-  readonly #atWork = new Map<string, number>();
+  readonly #activeRunCounts = new Map<string, number>();
 
   #lastBornMs = 0;
 
   /** Asked about queues that need advice; without one these refuse. */
   advisor: AdvisorModel | undefined;
 
-  #ids = 0;
+  #jobCount = 0;
 
-  #entries = 0;
+  #entryCount = 0;
 
-  #version = 0;
+  #configVersion = 0;
 
   #stopped = false;
 
   /** The operator's next configuration. */
   configure(change: Partial<CellConfig> = {}): void {
-    this.#version += 1;
+    this.#configVersion += 1;
     const config: CellConfig = {
-      version: this.#version,
+      version: this.#configVersion,
       queues: [TEST_QUEUE],
       services: [{ name: 'render', guardsCapacity: true, standby: false }],
-      accounts: [{ name: 'weddings', keys: [KEY], guaranteedAccelerators: 0 }],
+      accounts: [{ name: 'weddings', keys: [TEST_API_KEY], guaranteedAccelerators: 0 }],
       limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
       ...change,
     };
@@ -122,14 +128,14 @@
   }
 
   /** The operator takes a failure domain back. */
-  takeBack(failureDomain: string): void {
+  endEvacuation(failureDomain: string): void {
     this.tables.transact({ expected: [], set: [], remove: [evacuationKey(failureDomain)] });
   }
 
-  async addEntry({ processorShare = 1 } = {}): Promise<EntryVm> {
-    const id = `entry-${this.#nextEntry()}`;
+  async addEntry({ processorShare = 1 } = {}): Promise<TestEntry> {
+    const id = `entry-${this.#nextEntryNumber()}`;
     const store = new MemoryRowStore(this.tables);
-    const ctx = quietContext({ id, role: 'entry', clock: this.clock, log: this.#log.logOf(id) });
+    const ctx = quietContext({ id, role: 'entry', clock: this.clock, log: this.#log.logFor(id) });
     const app = new EntryApp({
       ctx,
       store,
@@ -137,7 +143,7 @@
         key: CONFIG_KEY,
         decode: (value) => JSON.parse(value.toString()) as CellConfig,
       },
-      advisor: this.advisor && memoryAdvisor(this.advisor),
+      advisor: this.advisor && inMemoryAdvisor(this.advisor),
       linkAddress: `127.0.0.1:${await freePort()}`,
       linkKey: LINK_KEY,
       processorShare,
@@ -167,21 +173,21 @@
     throw new Error('the cell of a test is not ready');
   }
 
-  addWorker({ rack = 'r1', failureDomain = FAILURE_DOMAIN } = {}): WorkerVm {
+  addWorker({ rack = 'r1', failureDomain = FAILURE_DOMAIN } = {}): TestWorker {
     const id = `worker-${this.workers.length + 1}`;
     const store = new MemoryRowStore(this.tables);
     const life = this.#newLife(id, `${id}-runner`);
     const runner = new MemoryRunner(life);
     const guard = startGuard({ id, store, runner });
-    const worker: WorkerVm = {
+    const worker: TestWorker = {
       id,
       guard,
       runner,
       store,
       lives: [life],
-      beat: setInterval(() => sendHeartbeat(worker, rack), HEARTBEAT_MS),
+      heartbeatTimer: setInterval(() => sendHeartbeat(worker, rack), HEARTBEAT_MS),
       remainingMs: undefined,
-      mute: false,
+      isHeartbeatMuted: false,
       beats: 0,
       accelerators: ACCELERATORS,
       failureDomain,
@@ -192,17 +198,17 @@
   }
 
   /** The runner on this worker crashes and comes back as another life. */
-  replaceRunner(worker: WorkerVm): void {
+  replaceRunner(worker: TestWorker): void {
     worker.runner.life?.crash();
     const earlier = worker.lives.at(-1)?.id ?? '';
-    const life = this.#newLife(worker.id, this.keepsIds ? earlier : `${earlier}'`);
+    const life = this.#newLife(worker.id, this.reusesRunnerIds ? earlier : `${earlier}'`);
     Object.assign(worker.runner, { life });
     Object.assign(worker, { beats: 0, remainingMs: undefined });
     worker.lives.push(life);
   }
 
   /** The runner on this worker crashes, and comes back as another life after `awayMs`. */
-  crashRunner(worker: WorkerVm, awayMs: number): void {
+  crashRunner(worker: TestWorker, awayMs: number): void {
     worker.runner.life?.crash();
     if (this.#stopped) return;
     Object.assign(worker.runner, { life: undefined });
@@ -211,28 +217,28 @@
     }, awayMs);
   }
 
-  #crashByTask(id: string): void {
+  #onCrashByTask(id: string): void {
     const worker = this.workers.find((each) => each.id === id);
     if (worker === undefined) return;
-    this.crashRunner(worker, AWAY_MS);
-    if (!this.crashesTakeGuards || this.#stopped) return;
+    this.crashRunner(worker, RUNNER_RESTART_MS);
+    if (!this.crashesRestartGuards || this.#stopped) return;
     restartGuard(worker);
   }
 
   newJobId(): string {
-    this.#ids += 1;
-    return this.#ids.toString(16).padStart(16, '0');
+    this.#jobCount += 1;
+    return this.#jobCount.toString(16).padStart(16, '0');
   }
 
   /** What any entry says of a job. */
-  async state(id: string): Promise<string> {
+  async jobState(id: string): Promise<string> {
     const entry = this.entries.find(({ app }) => app.isReady) ?? this.entries[0];
-    const result = await entry?.app.calls.state(callOf(id));
+    const result = await entry?.app.calls.state(jobCall(id));
     return result?.outcome === 'state' ? result.state : (result?.outcome ?? 'no entry');
   }
 
   /** The id of the entry that owns the cell, by its row. */
-  owner(): EntryVm | undefined {
+  owner(): TestEntry | undefined {
     const row = this.tables.get(OWNER_KEY);
     const holder = row && unpackOwner(row.value).holder?.id;
     return this.entries.find(({ id }) => id === holder);
@@ -247,7 +253,7 @@
   }
 
   /** A job's progress as its row says; undefined while there is none. */
-  writtenProgress(jobId: string): JobProgress | undefined {
+  storedProgress(jobId: string): JobProgress | undefined {
     const progressRow = this.tables.get(jobRowKey(jobId, 'progress'));
     const submissionRow = this.tables.get(jobRowKey(jobId, 'submission'));
     if (progressRow === undefined || submissionRow === undefined) return undefined;
@@ -255,25 +261,25 @@
   }
 
   /** Highest run of any task of the job that its row knows. */
-  writtenRuns(jobId: string): number {
-    const occurrences = this.writtenProgress(jobId)?.occurrences ?? [];
+  highestStoredRun(jobId: string): number {
+    const occurrences = this.storedProgress(jobId)?.occurrences ?? [];
     const tasks = occurrences.flatMap(({ steps }) => steps.flatMap((step) => step.tasks));
     return Math.max(0, ...tasks.map(({ run }) => run));
   }
 
   /** Lines of all entries with this message, the oldest first. */
   logged(msg: string): LoggedLine[] {
-    return this.#log.of(msg);
+    return this.#log.withMessage(msg);
   }
 
-  #nextEntry(): number {
-    this.#entries += 1;
-    return this.#entries;
+  #nextEntryNumber(): number {
+    this.#entryCount += 1;
+    return this.#entryCount;
   }
 
   async stop(): Promise<void> {
     this.#stopped = true;
-    this.workers.forEach(({ guard, beat, runner }) => {
+    this.workers.forEach(({ guard, heartbeatTimer: beat, runner }) => {
       clearInterval(beat);
       guard.stop();
       runner.life?.crash();
@@ -285,22 +291,22 @@
     this.#lastBornMs = Math.max(this.#lastBornMs + 1, Date.now());
     return new RunnerModel({
       id,
-      bornMs: this.#lastBornMs - this.runnersBehindMs,
+      bornMs: this.#lastBornMs - this.runnerClockLagMs,
       slots: 8,
-      board: this.board,
+      board: this.gangBoard,
       takesTicket: (step, ticket) => this.advisor?.isValid(step, id, ticket) ?? true,
-      onCrash: () => this.#crashByTask(vm),
+      onCrash: () => this.#onCrashByTask(vm),
       observer: {
-        onStart: ({ task, run }) => this.#noteAtWork(task, run, 1),
-        onEnd: ({ task, run }) => this.#noteAtWork(task, run, -1),
+        onStart: ({ task, run }) => this.#changeActiveRuns(task, run, 1),
+        onEnd: ({ task, run }) => this.#changeActiveRuns(task, run, -1),
       },
     });
   }
 
-  #noteAtWork(task: string, run: number, change: number): void {
-    const count = (this.#atWork.get(task) ?? 0) + change;
-    this.#atWork.set(task, count);
-    if (count > 1) this.overlaps.push(`${task}#${run}`);
+  #changeActiveRuns(task: string, run: number, change: number): void {
+    const count = (this.#activeRunCounts.get(task) ?? 0) + change;
+    this.#activeRunCounts.set(task, count);
+    if (count > 1) this.overlappingRuns.push(`${task}#${run}`);
   }
 }
 
@@ -310,7 +316,7 @@
 }
 
 /** The emulated advisor as an owner calls it. */
-function memoryAdvisor(model: AdvisorModel): Advisor {
+function inMemoryAdvisor(model: AdvisorModel): Advisor {
   return {
     advise: async (step, runners) => {
       await pause(ADVICE_MS);
@@ -321,28 +327,31 @@
 }
 
 /** The entry is gone, and nothing that it sends reaches the store any more. */
-export function loseEntry({ app, store }: EntryVm): void {
+export function crashEntry({ app, store }: TestEntry): void {
   Object.assign(store, { fault: 'silent' });
   void app.stop();
 }
 
 /** The same the moment it writes a run down. */
-export function loseEntryAtWrite(entry: EntryVm): void {
+export function crashEntryAtProgressWrite(entry: TestEntry): void {
   Object.assign(entry.store, {
     onDone: ({ set }: Transaction) => {
-      if (set.some(({ key }) => key.endsWith('/p'))) loseEntry(entry);
+      if (set.some(({ key }) => key.endsWith('/p'))) crashEntry(entry);
     },
   });
 }
 
 /** A call about a job of the tests' queue. */
-export function callOf(rest: string, key = KEY): { host: string; path: string; key: string } {
-  return { host: HOST, path: `${PREFIX}${rest}`, key };
+export function jobCall(
+  rest: string,
+  key = TEST_API_KEY,
+): { host: string; path: string; key: string } {
+  return { host: TEST_HOST, path: `${TEST_PATH_PREFIX}${rest}`, key };
 }
 
 /** Hands a job in at an entry; answers the outcome. */
-export async function submit(
-  entry: EntryVm,
+export async function submitJob(
+  entry: TestEntry,
   id: string,
   {
     steps = [testStep()],
@@ -351,7 +360,7 @@
   }: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule'] } = {},
 ): Promise<string> {
   const job: JobRequest = { spec: JSON.stringify(spec), steps, schedule };
-  const { outcome } = await entry.app.calls.submit(callOf(id), { decode: () => ({ job }) });
+  const { outcome } = await entry.app.calls.submit(jobCall(id), { decode: () => ({ job }) });
   return outcome;
 }
 
--- a/packages/cell/src/testing/test-jobs.support.ts
+++ b/packages/cell/src/testing/test-jobs.support.ts
@@ -3,14 +3,14 @@
 import { submissionSchema, type Step, type Submission } from '../job/submission.js';
 import { OwnedJob } from '../owner/owned-job.js';
 
-export const HOST = 'proofs.example';
-export const PREFIX = '/proofs/';
-export const KEY = 'key-of-weddings';
+export const TEST_HOST = 'proofs.example';
+export const TEST_PATH_PREFIX = '/proofs/';
+export const TEST_API_KEY = 'key-of-weddings';
 
 export const TEST_QUEUE: Queue = {
   name: 'proofs',
-  host: HOST,
-  pathPrefix: PREFIX,
+  host: TEST_HOST,
+  pathPrefix: TEST_PATH_PREFIX,
   service: 'render',
   priority: 1,
   maxAttempts: 2,
--- a/packages/cell/src/testing/worker-vm.support.ts
+++ b/packages/cell/src/testing/test-worker.support.ts
@@ -13,17 +13,17 @@
 export const TEST_LEASE_MS = 4000;
 
 /** One of them. */
-export interface WorkerVm {
+export interface TestWorker {
   id: string;
   guard: GuardApp;
   runner: MemoryRunner;
   store: MemoryRowStore;
   lives: RunnerModel[];
-  beat: NodeJS.Timeout;
+  heartbeatTimer: NodeJS.Timeout;
   /** Its runner leaves after at least this long, in ms. */
   remainingMs: number | undefined;
   /** Heartbeats of its runner don't come. */
-  mute: boolean;
+  isHeartbeatMuted: boolean;
   /** Heartbeats of its runner's present life. */
   beats: number;
   /** What its runner says of its room; the emulated runner takes more all the same. */
@@ -32,16 +32,16 @@
 }
 
 /** The runner reports to its guard. */
-export function sendHeartbeat(worker: WorkerVm, rack = 'r1'): void {
+export function sendHeartbeat(worker: TestWorker, rack = 'r1'): void {
   const { life, dark } = worker.runner;
-  if (life === undefined || dark || worker.mute) return;
+  if (life === undefined || dark || worker.isHeartbeatMuted) return;
   Object.assign(worker, { beats: worker.beats + 1 });
   worker.guard.noteReport(reportOf(worker, life, rack));
 }
 
 /** What a life of the runner says of itself. */
 export function reportOf(
-  { remainingMs, accelerators, beats, failureDomain }: WorkerVm,
+  { remainingMs, accelerators, beats, failureDomain }: TestWorker,
   { id, bornMs }: RunnerModel,
   rack = 'r1',
 ): RunnerReport {
@@ -60,7 +60,7 @@
 }
 
 /** The guard beside it is lost, and starts anew at once. */
-export function restartGuard(worker: WorkerVm): void {
+export function restartGuard(worker: TestWorker): void {
   worker.guard.stop();
   Object.assign(worker, { guard: startGuard(worker) });
 }
@@ -70,7 +70,7 @@
   id,
   store,
   runner,
-}: Pick<WorkerVm, 'id' | 'store' | 'runner'>): GuardApp {
+}: Pick<TestWorker, 'id' | 'store' | 'runner'>): GuardApp {
   const ctx = quietContext({ id, role: 'guard' });
   const guard = new GuardApp({ ctx, store, runner, linkKey: LINK_KEY, holdMs: TEST_LEASE_MS });
   guard.start();
--- a/packages/cell/src/worker/worker.ts
+++ b/packages/cell/src/worker/worker.ts
@@ -1,7 +1,7 @@
 /** A worker as the owner of its cell sees it: its runner's life, what was given to it, what room is left. */
 import type { RunnerFacts } from '@zincspan/core';
 import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
-import { SUSPECT_WITHIN_MS } from '../job/crash-record.js';
+import { MAX_SUSPECT_AGE_MS } from '../job/crash-record.js';
 import type { TaskRef } from '../job/progress.js';
 import type { Demand } from '../job/submission.js';
 import { Pacer } from '../pacing/pacer.js';
@@ -149,7 +149,7 @@
   /** Runs that would be suspects if the runner crashed now. */
   youngRuns(now: number): Assignment[] {
     return [...this.assignments.values()].filter(
-      ({ runningAt }) => runningAt === undefined || now - runningAt < SUSPECT_WITHIN_MS,
+      ({ runningAt }) => runningAt === undefined || now - runningAt < MAX_SUSPECT_AGE_MS,
     );
   }
 
