--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of @zincspan/cell: jobs as graphs of steps, the owner of a cell, guards and entries of it. */
+/** Public API of @zincspan/cell: jobs as graphs of steps, and the processes of a cell: its owner, entries and guards. */
 export * from './advice/advisor.js';
 export * from './clock/pause.js';
 export * from './config/cell-config.js';
--- a/packages/cell/src/job/crash-record.steps.ts
+++ b/packages/cell/src/job/crash-record.steps.ts
@@ -12,10 +12,9 @@
 
 const REF = { occurrence: 0, step: 0, index: 0 };
 
-/** A task that crashes its runner does so at this age, in ms. */
 const START_CRASH_AGE_MS = 10;
 
-/** Ages of runners: of one that has been up for long, and of one that has just come back. */
+/** Ages of a runner that has been up for long and of one that has recently restarted. */
 const LONG_RUNNER_AGE_MS = 60_000;
 const RESTARTED_RUNNER_AGE_MS = 3000;
 
@@ -28,29 +27,29 @@
 }
 
 Given(
-  /^a runner that crashed under runs of ([\d, and]+) ms$/,
+  /^a runner that crashed during runs of ([\d, and]+) ms$/,
   function (this: CrashSteps, ages: string) {
     this.suspects = selectSuspects(parseNumbers(ages).map((ranMs) => ({ ranMs })));
   },
 );
 
-Then(/^those of ([\d, and]+) ms are blamed$/, function (this: CrashSteps, ages: string) {
+Then(/^those of ([\d, and]+) ms are suspects$/, function (this: CrashSteps, ages: string) {
   assert.deepEqual(
     this.suspects.map(({ ranMs }) => ranMs),
     parseNumbers(ages),
   );
 });
 
-Given(/^a task that (lasts|ends)$/, function (this: CrashSteps, which: string) {
-  const steps = [testStep({ lasting: which === 'lasts' })];
+Given(/^a (lasting|finite) task$/, function (this: CrashSteps, which: string) {
+  const steps = [testStep({ lasting: which === 'lasting' })];
   this.progress = new JobProgress(testSubmission({ steps }));
 });
 
 When(
-  /^(fresh )?runners crash under its runs, which were ([\d, and]+) ms old(, beside others as young)?$/,
-  function (this: CrashSteps, fresh: string | null, ages: string, beside: string | null) {
-    const livedMs = fresh === null ? LONG_RUNNER_AGE_MS : RESTARTED_RUNNER_AGE_MS;
-    const isAlone = beside === null;
+  /^(restarted )?runners crash during its runs, aged ([\d, and]+) ms(, next to other jobs' runs of the same age)?$/,
+  function (this: CrashSteps, restarted: string | null, ages: string, others: string | null) {
+    const livedMs = restarted === null ? LONG_RUNNER_AGE_MS : RESTARTED_RUNNER_AGE_MS;
+    const isAlone = others === null;
     parseNumbers(ages).forEach((ranMs) => {
       if (this.progress.outcome !== 'open') return;
       const run = startRun(this);
@@ -61,10 +60,10 @@
 );
 
 When(
-  'the crash under one run of {int} ms is told {int} times',
+  'the crash during one run of {int} ms is reported {int} times',
   function (this: CrashSteps, ranMs: number, times: number) {
     const run = startRun(this);
-    const told = Array.from({ length: times }, () =>
+    const counted = Array.from({ length: times }, () =>
       this.progress.recordCrash({
         ref: REF,
         run,
@@ -74,14 +73,14 @@
       }),
     );
     assert.deepEqual(
-      told,
-      told.map((_, index) => index === 0),
+      counted,
+      counted.map((_, index) => index === 0),
     );
   },
 );
 
 When(
-  'its run is lost, the next one starts, and the crash under the first is told',
+  'its run is lost, the next one starts, and the crash during the first is reported',
   function (this: CrashSteps) {
     const run = startRun(this);
     endRunAsLost(this, run);
@@ -98,8 +97,8 @@
   },
 );
 
-Then(/^its job (has|hasn't) failed by it$/, function (this: CrashSteps, which: string) {
-  assert.equal(this.progress.outcome, which === 'has' ? 'failed' : 'open');
+Then(/^its job is (failed|open)$/, function (this: CrashSteps, which: string) {
+  assert.equal(this.progress.outcome, which === 'failed' ? 'failed' : 'open');
 });
 
 Then('1 crash is counted', function (this: CrashSteps) {
--- a/packages/cell/src/job/job-rows.ts
+++ b/packages/cell/src/job/job-rows.ts
@@ -1,16 +1,16 @@
 /**
  * Rows of jobs in the store. A job has up to three: the submission, which never changes, the progress, which only the
- * cell's owner changes, and the cancellation, which any entry may add. One table, so that one feed tells of all.
+ * cell's owner changes, and the cancellation, which any entry may add. All are in one table, so that one feed covers them.
  */
 import { Packr } from 'msgpackr';
 import type { RowKey } from '../store/row-store.js';
 import { JobProgress, type ProgressRow } from './progress.js';
 import { submissionSchema, type Submission } from './submission.js';
 
-/** The table of all jobs of a cell. */
+/** Table of all jobs of a cell. */
 export const JOB_TABLE = 'jobs';
 
-/** Which of a job's rows. */
+/** Kinds of rows of a job. */
 export type JobRowKind = 'submission' | 'progress' | 'cancellation';
 
 const KEY_SUFFIX: Record<JobRowKind, string> = {
@@ -19,15 +19,15 @@
   cancellation: 'c',
 };
 
-/** Records name each field once a row instead of once a task. */
+/** With records each field is named once per row instead of once per task. */
 const packr = new Packr({ useRecords: true });
 
-/** The key of one row of a job. */
+/** Key of one row of a job. */
 export function jobRowKey(id: string, kind: JobRowKind): RowKey {
   return { table: JOB_TABLE, part: '', key: `${id}/${KEY_SUFFIX[kind]}` };
 }
 
-/** Which job and row a key names; undefined if it is none of ours. */
+/** Job and kind of row that a key names; undefined if it isn't the key of a job's row. */
 export function parseJobRowKey(key: string): { id: string; kind: JobRowKind } | undefined {
   const slash = key.lastIndexOf('/');
   const suffix = key.slice(slash + 1);
@@ -51,7 +51,7 @@
   return packr.pack(progress.toRow());
 }
 
-/** The owner's own writing: read back as it was written. */
+/** Trusts the row without validation, as only the owner writes it. */
 export function unpackProgress(submission: Submission, value: Buffer): JobProgress {
   return new JobProgress(submission, packr.unpack(value) as ProgressRow);
 }
--- a/packages/cell/src/job/job-view.ts
+++ b/packages/cell/src/job/job-view.ts
@@ -1,29 +1,29 @@
-/** Jobs as their rows say, put together from rows in any order. */
+/** In-memory view of jobs, assembled from their rows in any order. */
 import type { ProcessContext } from '@zincspan/core';
 import type { FeedRow, Row } from '../store/row-store.js';
 import { parseJobRowKey, unpackProgress, unpackSubmission } from './job-rows.js';
 import { JobProgress, type JobState } from './progress.js';
 import type { Submission } from './submission.js';
 
-/** A job as its rows say. Versions are those of the rows; 0 where there is none. */
+/** State of a job according to its rows. Versions are those of the rows; 0 where there is none. */
 export interface JobSnapshot {
   id: string;
   submission: Submission;
   submissionVersion: number;
-  /** Undefined until the owner has first written it. */
+  /** Undefined until the owner first writes it. */
   progress?: JobProgress;
   progressVersion: number;
   cancelled: boolean;
 }
 
-/** Told of each change, after it was applied. */
+/** Called after each change was applied. */
 export type JobListener = (job: JobSnapshot) => void;
 
-/** Jobs whose rows were seen. */
+/** All jobs whose rows have been received. */
 export class JobView {
   readonly #jobs = new Map<string, JobSnapshot>();
 
-  /** Rows of jobs whose submission hasn't come yet. */
+  /** Rows of jobs whose submission hasn't been received yet. */
   readonly #pendingRows = new Map<string, FeedRow[]>();
 
   readonly #listeners: JobListener[] = [];
@@ -46,13 +46,12 @@
     return this.#jobs.get(id);
   }
 
-  /** Drops what is known of a job. */
   remove(id: string): void {
     this.#jobs.delete(id);
     this.#pendingRows.delete(id);
   }
 
-  /** Jobs of a queue that were accepted and of which no task has started. */
+  /** Number of accepted jobs of a queue that have started no task yet. */
   countWaiting(queue: string): number {
     let count = 0;
     this.#jobs.forEach((job) => {
@@ -61,7 +60,7 @@
     return count;
   }
 
-  /** Takes a row, unless a newer one of it is known. Answers whose it is; undefined if it is no job's. */
+  /** Applies a row unless a newer version is known. Returns its job's id; undefined if it isn't a job's row. */
   apply(row: FeedRow): string | undefined {
     const parsed = parseJobRowKey(row.key);
     if (parsed === undefined) return undefined;
@@ -75,7 +74,10 @@
       else this.#applyUpdate(id, kind, row);
     } catch (err) {
       this.#ctx.metrics.count('job.row-unreadable');
-      this.#ctx.log.error({ err, key: row.key, version: row.version }, 'job row unreadable');
+      this.#ctx.log.error(
+        { err, key: row.key, version: row.version },
+        'cannot decode job row; ignoring it',
+      );
     }
     return id;
   }
@@ -117,7 +119,7 @@
   }
 }
 
-/** What a caller is told of a job. */
+/** State of a job as reported to callers. */
 export function jobState({ submission, progress, cancelled }: JobSnapshot): JobState {
   const { state } = progress ?? new JobProgress(submission);
   return cancelled && (state === 'queued' || state === 'running') ? 'cancelled' : state;
--- a/packages/cell/src/job/progress.steps.ts
+++ b/packages/cell/src/job/progress.steps.ts
@@ -22,7 +22,7 @@
   );
 }
 
-function endRun(world: ProgressSteps, index: number, run: number, how: RunEndKind): boolean {
+function endTaskRun(world: ProgressSteps, index: number, run: number, how: RunEndKind): boolean {
   const { progress, maxAttempts } = world;
   return progress.endRun({ ref: refOf(index), run, how, checkpoint: '' }, { maxAttempts });
 }
@@ -46,27 +46,27 @@
 
 When('its run starts and two members end as failed', function (this: ProgressSteps) {
   const run = startAll(this);
-  assert.ok(endRun(this, 0, run, 'failed'));
-  assert.ok(endRun(this, 1, run, 'failed'));
+  assert.ok(endTaskRun(this, 0, run, 'failed'));
+  assert.ok(endTaskRun(this, 1, run, 'failed'));
 });
 
 When('its run starts and one member ends as done', function (this: ProgressSteps) {
-  assert.ok(endRun(this, 1, startAll(this), 'done'));
+  assert.ok(endTaskRun(this, 1, startAll(this), 'done'));
 });
 
 When('its runs end as lost, lapsed, stopped and broken', function (this: ProgressSteps) {
   (['lost', 'lapsed', 'stopped', 'broken'] as const).forEach((how) => {
-    assert.ok(endRun(this, 0, startAll(this), how));
+    assert.ok(endTaskRun(this, 0, startAll(this), how));
   });
 });
 
 When(
-  'its run is lost, the next one starts, and the first ends as done after all',
+  'its run is lost, the next one starts, and the first ends as done afterwards',
   function (this: ProgressSteps) {
     const first = startAll(this);
-    assert.ok(endRun(this, 0, first, 'lost'));
+    assert.ok(endTaskRun(this, 0, first, 'lost'));
     assert.equal(startAll(this), first + 1);
-    assert.equal(endRun(this, 0, first, 'done'), false);
+    assert.equal(endTaskRun(this, 0, first, 'done'), false);
   },
 );
 
@@ -82,15 +82,18 @@
   assert.equal(this.progress.state, 'completed');
 });
 
-Then('at 999, 1000, 1600 and 9000 it has opened 0, 1, 2 and 3', function (this: ProgressSteps) {
-  const opened = [999, 1000, 1600, 9000].map((wallMs) => {
-    this.progress.openDueOccurrences(wallMs);
-    return this.progress.occurrences.length;
-  });
-  assert.deepEqual(opened, [0, 1, 2, 3]);
-});
+Then(
+  'by 999, 1000, 1600 and 9000 it has opened 0, 1, 2 and 3 occurrences',
+  function (this: ProgressSteps) {
+    const opened = [999, 1000, 1600, 9000].map((wallMs) => {
+      this.progress.openDueOccurrences(wallMs);
+      return this.progress.occurrences.length;
+    });
+    assert.deepEqual(opened, [0, 1, 2, 3]);
+  },
+);
 
-Then('its row reads back the same', function (this: ProgressSteps) {
+Then('reading its row gives the same progress', function (this: ProgressSteps) {
   const read = unpackProgress(this.submission, packProgress(this.progress));
   assert.deepEqual(read.toRow(), this.progress.toRow());
 });
--- a/packages/cell/src/job/progress.ts
+++ b/packages/cell/src/job/progress.ts
@@ -1,4 +1,4 @@
-/** How far a job has come. Only the owner of its cell changes it, and each change is written before it takes effect. */
+/** Progress of a job. Only the owner of its cell changes it, and each change is stored before it takes effect. */
 import {
   isCrashLooping,
   addCrash,
@@ -7,28 +7,28 @@
 } from './crash-record.js';
 import type { Step, Submission } from './submission.js';
 
-/** A run that was given to a runner and isn't known to be over. */
+/** A run that was given to a runner and isn't known to have ended. */
 export interface ActiveRun {
   run: number;
   vm: string;
-  /** The runner's life that it was given to. */
+  /** Incarnation of the runner that it was given to. */
   runner: string;
-  /** Where it continues from; empty if it starts anew. */
+  /** Checkpoint to continue from; empty if it starts from the beginning. */
   checkpoint: string;
 }
 
-/** One task. `run` is the highest run number given out. */
+/** One task. `run` is the highest run number assigned so far. */
 export interface TaskProgress {
   done: boolean;
   run: number;
   failures: number;
   checkpoint: string;
   active?: ActiveRun;
-  /** Absent until a runner crashed under it. */
+  /** Absent until a runner crashed during one of its runs. */
   crashes?: CrashRecord;
 }
 
-/** One step. A gang counts its failures for all members together, once a run. */
+/** One step. For a gang, `failures` counts failed runs of all members together, and `failedRun` is the last one counted. */
 export interface StepProgress {
   tasks: TaskProgress[];
   failures: number;
@@ -41,23 +41,23 @@
   steps: StepProgress[];
 }
 
-/** `open` until the last task has ended, an attempt was one too many, or it was cancelled. */
+/** `open` until the last task has ended, the attempts are exhausted, or the job is cancelled. */
 export type JobOutcome = 'open' | 'completed' | 'failed' | 'cancelled';
 
-/** What a caller is told. */
+/** State as reported to callers. */
 export type JobState = 'queued' | 'running' | Exclude<JobOutcome, 'open'>;
 
-/** How a run ended, as its runner tells it. `lost`: the runner's life or its lease ended unseen. */
+/** How a run ended according to its runner. `lost`: the runner's incarnation or the lease ended without a report. */
 export type RunEndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone' | 'lost';
 
-/** Names one task: occurrence, step and place in the step. */
+/** Identifies a task of a job: occurrence, step, and index within the step. */
 export interface TaskRef {
   occurrence: number;
   step: number;
   index: number;
 }
 
-/** The end of one run. */
+/** End of one run. */
 export interface RunEnd {
   ref: TaskRef;
   run: number;
@@ -66,22 +66,22 @@
   checkpoint: string;
 }
 
-/** A runner's crash, as it concerns one run. Times in ms. */
+/** A runner crash as seen by one run, with the task. Times in ms. */
 export interface RunCrash extends CrashObservation {
   ref: TaskRef;
-  /** How long the runner's life had been known. */
+  /** For how long the runner's incarnation had been known. */
   livedMs: number;
 }
 
-/** Where a task goes. */
+/** Placement of a task. */
 export interface PlacedTask {
   ref: TaskRef;
   vm: string;
-  /** The runner's life there. */
+  /** Incarnation of the runner there. */
   runner: string;
 }
 
-/** What a progress row holds. */
+/** Contents of a progress row. */
 export interface ProgressRow {
   outcome: JobOutcome;
   begun: boolean;
@@ -89,7 +89,7 @@
   occurrences: Occurrence[];
 }
 
-/** All of a job. Occurrences that are done are dropped. */
+/** Progress of all occurrences of a job. Completed occurrences are dropped. */
 export class JobProgress {
   readonly #submission: Submission;
 
@@ -97,12 +97,12 @@
 
   #begun: boolean;
 
-  /** Occurrences that were ever due. */
+  /** Number of occurrences that have been due so far. */
   #opened: number;
 
   #occurrences: Occurrence[];
 
-  /** Without a row: of a job that was just accepted. One without a schedule is due at once. */
+  /** Without a row, progress of a newly accepted job; without a schedule the job is due immediately. */
   constructor(submission: Submission, row?: ProgressRow) {
     this.#submission = submission;
     this.#outcome = row?.outcome ?? 'open';
@@ -116,7 +116,7 @@
     return this.#outcome;
   }
 
-  /** A task was started at some time. */
+  /** True once any task was started. */
   get begun(): boolean {
     return this.#begun;
   }
@@ -139,17 +139,17 @@
     };
   }
 
-  /** The task named; undefined if there is none. */
+  /** The given task; undefined if there is none. */
   findTask(ref: TaskRef): TaskProgress | undefined {
     return this.findStep(ref)?.tasks[ref.index];
   }
 
-  /** The step that a task belongs to. */
+  /** The step that a task belongs to; undefined if there is none. */
   findStep({ occurrence, step }: Omit<TaskRef, 'index'>): StepProgress | undefined {
     return this.#occurrences.find(({ index }) => index === occurrence)?.steps[step];
   }
 
-  /** Opens occurrences that are due at `wallMs` (time of day). True if one was. */
+  /** Opens the occurrences that are due at `wallMs` (time of day). True if there were any. */
   openDueOccurrences(wallMs: number): boolean {
     const { schedule } = this.#submission;
     if (schedule === undefined || this.#outcome !== 'open') return false;
@@ -163,7 +163,7 @@
     return this.#opened > before;
   }
 
-  /** Gives tasks to runners under the next run number, the same for all. */
+  /** Records that tasks are given to runners, all under the same new run number, which is returned. */
   startRuns(placed: readonly PlacedTask[]): number {
     const tasks = placed.map(({ ref }) => this.findTask(ref)).filter((task) => task !== undefined);
     const run = Math.max(0, ...tasks.map((task) => task.run)) + 1;
@@ -177,7 +177,7 @@
     return run;
   }
 
-  /** Notes the end of a run. False if it is no longer the task's run: it was noted before, or given up. */
+  /** Records the end of a run. False if it is no longer the task's active run: its end was recorded before, or it was given up. */
   endRun(end: RunEnd, { maxAttempts }: { maxAttempts: number }): boolean {
     const task = this.findTask(end.ref);
     if (task?.active?.run !== end.run) return false;
@@ -186,7 +186,7 @@
     const step = this.#submission.steps[end.ref.step];
     if (step === undefined || progress === undefined) return true;
     if (!task.done) {
-      // One member's end and checkpoint stand for the whole gang.
+      // One member's end and checkpoint count for the whole gang.
       const affected = step.gang ? progress.tasks : [task];
       if (end.checkpoint !== '') assignToAll(affected, { checkpoint: end.checkpoint });
       if (end.how === 'done' && !step.lasting) assignToAll(affected, { done: true });
@@ -198,8 +198,8 @@
   }
 
   /**
-   * A runner crashed under this run. The job fails once that has come to be the task's own fault: without a bound such a task was
-   * started 33 times within two minutes, by the logs of one day. False if it says nothing new.
+   * Records that a runner crashed during a run. The job fails once the task itself counts as the cause: without a limit such a
+   * task was started 33 times within two minutes, according to one day's logs. False if the crash was already counted or is obsolete.
    */
   recordCrash({ ref, livedMs, ...crash }: RunCrash): boolean {
     const { run } = crash;
@@ -212,7 +212,7 @@
     return true;
   }
 
-  /** A checkpoint of a run that goes on. True if it is a new one. */
+  /** Records a checkpoint of a run that continues. True if it is a new one. */
   recordCheckpoint({ ref, run, checkpoint }: Omit<RunEnd, 'how'>): boolean {
     const task = this.findTask(ref);
     if (checkpoint === '' || task?.active?.run !== run || task.checkpoint === checkpoint) {
@@ -223,14 +223,14 @@
     return true;
   }
 
-  /** Stops the job for good; false if it was over. Runs that are still active are to be stopped. */
+  /** Cancels the job; false if it had already ended. The caller stops the runs that are still active. */
   cancel(): boolean {
     if (this.#outcome !== 'open') return false;
     this.#outcome = 'cancelled';
     return true;
   }
 
-  /** All runs that aren't known to be over. */
+  /** All runs that aren't known to have ended. */
   activeRuns(): { ref: TaskRef; active: ActiveRun }[] {
     return this.#occurrences.flatMap(({ index: occurrence, steps }) =>
       steps.flatMap(({ tasks }, step) =>
@@ -279,7 +279,7 @@
   }
 }
 
-/** True if all steps that this one waits for are done. */
+/** True if all steps that this step waits for are done. */
 export function isStepReady(step: Step, occurrence: Occurrence): boolean {
   return step.after.every((other) => occurrence.steps[other]?.tasks.every(({ done }) => done));
 }
--- a/packages/cell/src/job/submission.ts
+++ b/packages/cell/src/job/submission.ts
@@ -1,19 +1,19 @@
-/** What a caller hands in: a graph of steps. It never changes once it is accepted. */
+/** A submitted job: a graph of steps. It never changes after acceptance. */
 import * as z from 'zod';
 
-/** Most tasks of one step: progress of a step must fit into one row of the store. */
+/** Maximum number of tasks per step: the progress of a step must fit into one row of the store. */
 export const MAX_TASKS_PER_STEP = 400;
 
-/** Most tasks of a job over all its steps, for the same reason. */
+/** Maximum number of tasks of all steps of a job, for the same reason. */
 export const MAX_TASKS_PER_JOB = 800;
 
 const MAX_STEPS = 100;
 const MAX_OCCURRENCES = 1000;
 
-/** Longest `spec`, in characters of UTF-8. */
+/** Maximum length of `spec`, in characters. */
 export const MAX_SPEC_LENGTH = 4000;
 
-/** What one task takes of a worker while it runs. */
+/** Resources of a worker that one task uses while it runs. */
 export const demandSchema = z.strictObject({
   /** Thousandths of a core. */
   milliCores: z.int().min(0),
@@ -22,34 +22,34 @@
 });
 export type Demand = z.infer<typeof demandSchema>;
 
-/** One step: independent tasks, or a gang that works only together. */
+/** One step: independent tasks, or a gang, whose tasks only work together. */
 export const stepSchema = z.strictObject({
   tasks: z.int().min(1).max(MAX_TASKS_PER_STEP),
   demand: demandSchema,
   /** The caller's rough estimate of a task's duration, in ms. */
   estimateMs: z.number().min(0),
-  /** Earlier steps whose tasks must all be done first. */
+  /** Indexes of earlier steps whose tasks must all be done first. */
   after: z.array(z.int().min(0)),
   gang: z.boolean(),
-  /** Saves checkpoints, so that a later run continues where the last one was. */
+  /** Saves checkpoints, so that a later run continues from the last one. */
   checkpointing: z.boolean(),
-  /** Slower by a factor when its tasks run on more than one rack. */
+  /** Slower by some factor when its tasks run on more than one rack. */
   rackSensitive: z.boolean(),
-  /** Slower by the same factor on any other rack, as its data is here. */
+  /** Rack that holds its data; slower by the same factor on any other rack. */
   preferredRack: z.optional(z.string()),
-  /** A label that the worker must have. */
+  /** Label that a worker must have. */
   requiredLabel: z.optional(z.string()),
-  /** At most this many tasks of the step on one worker. */
+  /** Maximum number of tasks of the step on one worker. */
   maxPerWorker: z.optional(z.int().min(1)),
   /** Copies of a task may run in parallel. */
   duplicates: z.boolean(),
-  /** Runs until the job is cancelled; restarted however it ends. */
+  /** Its tasks run until the job is cancelled and are restarted however they end. */
   lasting: z.boolean(),
-  /** Its cores aren't counted against a worker's capacity: it uses what others leave. */
+  /** Its cores aren't counted against a worker's capacity, as it uses only what other tasks leave. */
   fills: z.boolean(),
-  /** The tail of the response times that its tasks give their own users should stay below this, in ms. */
+  /** Target for the tail latency of the requests that its tasks serve, in ms. */
   targetMs: z.optional(z.number().min(0)),
-  /** How many tasks of a lasting step may be away at once by our own doing. */
+  /** How many tasks of a lasting step the scheduler may have stopped at the same time. */
   mayMiss: z.int().min(0),
 });
 export type Step = z.infer<typeof stepSchema>;
@@ -62,7 +62,7 @@
 });
 export type Schedule = z.infer<typeof scheduleSchema>;
 
-/** What its queue said when the job was accepted; holds once the queue is gone from the configuration. */
+/** Settings of the job's queue at its acceptance; they still apply after the queue is removed from the configuration. */
 export const queueTermsSchema = z.strictObject({
   service: z.string(),
   priority: z.int(),
@@ -80,7 +80,7 @@
   terms: queueTermsSchema,
   /** Name of the client account; empty on a public queue that was called without a key. */
   account: z.string(),
-  /** Passed to the runner as it is. */
+  /** Passed to the runner unchanged. */
   spec: z.string().max(MAX_SPEC_LENGTH),
   steps: z.array(stepSchema).min(1).max(MAX_STEPS),
   schedule: z.optional(scheduleSchema),
@@ -89,22 +89,22 @@
 });
 export type Submission = z.infer<typeof submissionSchema>;
 
-/** What a caller hands in, decoded. */
+/** A caller's decoded request. */
 export const jobRequestSchema = submissionSchema.pick({ spec: true, steps: true, schedule: true });
 export type JobRequest = z.infer<typeof jobRequestSchema>;
 
-/** What is wrong with the graph of steps, in words; undefined if nothing is. */
+/** Describes what is wrong with the graph of steps; undefined if it is valid. */
 export function findGraphError(steps: readonly Step[]): string | undefined {
   const total = steps.reduce((sum, step) => sum + step.tasks, 0);
   if (total > MAX_TASKS_PER_JOB) {
-    return `The job has ${total} tasks; at most ${MAX_TASKS_PER_JOB} are taken. Split it into several jobs.`;
+    return `The job has ${total} tasks; at most ${MAX_TASKS_PER_JOB} are allowed. Split it into several jobs.`;
   }
   const index = steps.findIndex((step, own) => step.after.some((other) => other >= own));
   if (index < 0) return undefined;
   return `Step ${index} waits for itself or a later step. Let "after" name earlier steps only.`;
 }
 
-/** Longest chain of steps, in ms, by how long a task of each is expected to take. */
+/** Length of the critical path through the steps, in ms, by the expected duration of a task of each. */
 export function criticalPathMs(
   steps: readonly Step[],
   expectedMs: (step: Step, index: number) => number,
@@ -117,7 +117,6 @@
   return Math.max(0, ...ends);
 }
 
-/** True if both are the same room. */
 export function isSameDemand(a: Demand, b: Demand): boolean {
   return (
     a.milliCores === b.milliCores && a.memoryMb === b.memoryMb && a.accelerators === b.accelerators
--- a/packages/cell/src/job/task-name.ts
+++ b/packages/cell/src/job/task-name.ts
@@ -1,8 +1,8 @@
-/** Names of tasks, as runners and the links between our processes carry them. */
+/** Names of tasks as used with runners and on the links between processes. */
 import type { RunName } from '@zincspan/core';
 import type { TaskRef } from './progress.js';
 
-/** `<job>.<occurrence>.<step>`: what all tasks of one step have in common. */
+/** `<job>.<occurrence>.<step>`: the common prefix of the names of a step's tasks. */
 export function stepName({
   jobId,
   occurrence,
@@ -20,7 +20,7 @@
   return `${stepName({ jobId, ...step })}.${index}`;
 }
 
-/** The parts of a task's name; undefined if it isn't one. */
+/** Parses a task's name; undefined if it isn't one. */
 export function parseTaskName(name: string): { jobId: string; ref: TaskRef } | undefined {
   const parts = name.split('.');
   if (parts.length !== 4) return undefined;
@@ -33,7 +33,7 @@
   return { jobId, ref: { occurrence, step, index } };
 }
 
-/** A run as a key of maps. */
+/** Key of a run in maps. */
 export function runKey({ task, run }: RunName): string {
   return `${task}#${run}`;
 }
--- a/packages/cell/src/placing/placing.steps.ts
+++ b/packages/cell/src/placing/placing.steps.ts
@@ -50,13 +50,13 @@
 
 Given(
   /^runs of ([\d, and]+) accelerators on workers ([\d, and]+) that would lose ([\d, and]+)$/,
-  function (this: PlacingSteps, sizes: string, workers: string, losses: string) {
-    const vms = parseNumbers(workers);
+  function (this: PlacingSteps, sizes: string, vms: string, losses: string) {
+    const numbers = parseNumbers(vms);
     const loss = parseNumbers(losses);
     this.victims = parseNumbers(sizes).map((size, index) => ({
       key: `${loss[index]}`,
       loss: loss[index] ?? 0,
-      members: [{ vm: `worker ${vms[index]}`, demand: acceleratorDemand(size) }],
+      members: [{ vm: `worker ${numbers[index]}`, demand: acceleratorDemand(size) }],
     }));
   },
 );
@@ -94,7 +94,7 @@
   function (this: PlacingSteps) {
     sortByUrgency(this, {
       late: { ...DEFAULT_FACTORS, priority: 0, ageMs: 40_000 },
-      timely: { ...DEFAULT_FACTORS, priority: 2 },
+      'timely job': { ...DEFAULT_FACTORS, priority: 2 },
     });
   },
 );
@@ -128,7 +128,10 @@
 Then(
   /^the (small urgent one|timely one|claim) comes first$/,
   function (this: PlacingSteps, which: string) {
-    const names: Record<string, string> = { 'small urgent one': 'small', 'timely one': 'timely' };
+    const names: Record<string, string> = {
+      'small urgent one': 'small',
+      'timely one': 'timely job',
+    };
     assert.equal(this.order[0], names[which] ?? which);
   },
 );
--- a/packages/cell/src/placing/suspect-placing.steps.ts
+++ b/packages/cell/src/placing/suspect-placing.steps.ts
@@ -9,13 +9,13 @@
 /** Replaces a worker by a copy with other properties. */
 function changeWorker(
   world: PlacingSteps,
-  number: number,
+  worker: number,
   options: Partial<AvailableWorker>,
 ): void {
-  const worker = workerAt(world, number);
-  const changed = new AvailableWorker({ ...worker, free: worker.free, ...options });
+  const current = workerAt(world, worker);
+  const changed = new AvailableWorker({ ...current, free: current.free, ...options });
   Object.assign(world, {
-    workers: world.workers.map((each) => (each === worker ? changed : each)),
+    workers: world.workers.map((each) => (each === current ? changed : each)),
   });
 }
 
