--- a/packages/cell/src/placing/available-worker.ts
+++ b/packages/cell/src/placing/available-worker.ts
@@ -167,12 +167,12 @@
 
 /** How many tasks with this demand fit into the free capacity. */
 export function maxTasks(free: Demand, demand: Demand): number {
-  const count = Math.min(
+  const lowest = Math.min(
     maxTasksByResource(free.milliCores, demand.milliCores),
     maxTasksByResource(free.memoryMb, demand.memoryMb),
     maxTasksByResource(free.accelerators, demand.accelerators),
   );
-  return Math.max(0, count);
+  return Math.max(0, lowest);
 }
 
 function maxTasksByResource(free: number, demand: number): number {
--- a/packages/cell/src/placing/placing.steps.ts
+++ b/packages/cell/src/placing/placing.steps.ts
@@ -50,13 +50,13 @@
 
 Given(
   /^runs of ([\d, and]+) accelerators on workers ([\d, and]+) that would lose ([\d, and]+)$/,
-  function (this: PlacingSteps, sizes: string, vms: string, losses: string) {
-    const numbers = parseNumbers(vms);
+  function (this: PlacingSteps, sizes: string, hosts: string, losses: string) {
+    const vms = parseNumbers(hosts);
     const loss = parseNumbers(losses);
     this.victims = parseNumbers(sizes).map((size, index) => ({
       key: `${loss[index]}`,
       loss: loss[index] ?? 0,
-      members: [{ vm: `worker ${numbers[index]}`, demand: acceleratorDemand(size) }],
+      members: [{ vm: `worker ${vms[index]}`, demand: acceleratorDemand(size) }],
     }));
   },
 );
--- a/packages/cell/src/placing/preemption.ts
+++ b/packages/cell/src/placing/preemption.ts
@@ -106,10 +106,10 @@
 function dropUnneeded(
   group: TaskGroup,
   worker: AvailableWorker,
-  candidates: readonly Victim[],
+  stopped: readonly Victim[],
   fittingBefore: number,
 ): Victim[] {
-  return [...candidates].reverse().reduce(
+  return [...stopped].reverse().reduce(
     (kept, victim) => {
       const rest = kept.filter((each) => each !== victim);
       const trial = worker.copy();
@@ -120,7 +120,7 @@
       );
       return tasksFitting(group, trial) > fittingBefore ? rest : kept;
     },
-    [...candidates],
+    [...stopped],
   );
 }
 
--- a/packages/cell/src/testing/log-recorder.support.ts
+++ b/packages/cell/src/testing/log-recorder.support.ts
@@ -1,14 +1,14 @@
-/** Keeps what the processes of a test log. */
+/** Records the log lines of the processes of a test. */
 import type { Log } from '@zincspan/core';
 
-/** A line's fields, with its message, the process that wrote it, and when, on the host's monotonic clock in ms. */
+/** Fields of a log line, its message, the process that logged it, and the host's monotonic time in ms. */
 export type LoggedLine = Record<string, unknown> & { msg: string; by: string; at: number };
 
-/** Lines of all processes that were given its logger. */
+/** Log lines of all processes that use its loggers. */
 export class LogRecorder {
   readonly lines: LoggedLine[] = [];
 
-  /** For the context of the process with this name. */
+  /** Logger for the context of the process with this name. */
   logFor(by: string): Log {
     const record = (fields: object, msg: string): void => {
       this.lines.push({ ...fields, msg, by, at: performance.now() });
@@ -16,7 +16,7 @@
     return { info: record, warn: record, error: record };
   }
 
-  /** All lines with this message, the oldest first. */
+  /** All lines with this message, oldest first. */
   withMessage(msg: string): LoggedLine[] {
     return this.lines.filter((line) => line.msg === msg);
   }
--- a/packages/cell/src/testing/memory-row-store.support.ts
+++ b/packages/cell/src/testing/memory-row-store.support.ts
@@ -1,4 +1,4 @@
-/** A row store in memory for one process of a test, with the faults of the real one. */
+/** In-memory row store for one process of a test, with injectable faults of the real one. */
 import { RowTables } from '@zincspan/stand-ins';
 import type {
   FeedResult,
@@ -9,37 +9,37 @@
 } from '../store/row-store.js';
 import { pause } from '../clock/pause.js';
 
-/** What this process's calls meet. `lost`: writes are done and not answered. */
+/** Fault of this process's calls. `silent`: no answer; `lost`: writes are committed but not answered. */
 export type StoreFault = 'none' | 'silent' | 'refuse' | 'lost';
 
 const DEFAULT_ANSWER_MS = 2;
 
-/** A feed that stands still fails after this long, in ms. */
+/** A frozen feed fails after this time. */
 const FROZEN_FEED_MS = 500;
 
-/** When the last transaction that takes its turn on these tables is done. */
+/** Resolves when the last transaction that was queued for these tables may be executed. */
 const lastTurns = new WeakMap<RowTables, Promise<void>>();
 
-/** One process's way to the tables that all share. */
+/** One process's access to the tables that all processes share. */
 export class MemoryRowStore implements RowStore {
   fault: StoreFault = 'none';
 
-  /** Feeds fail although everything else is answered. */
+  /** Feeds freeze, then fail, while other calls are answered. */
   feedStandsStill = false;
 
-  /** Time of a call, in ms. */
+  /** Latency of a call, in ms. */
   answerMs = DEFAULT_ANSWER_MS;
 
-  /** Transactions of all processes are done one after another, each in this time, in ms; 0: at once. */
+  /** If above 0, transactions of all processes are executed one after another, each taking this time, in ms. */
   turnMs = 0;
 
-  /** Reads of ranges that begin with this key fail although everything else is answered. */
+  /** Reads of ranges that start at this key fail while other calls are answered. */
   unreadableRangeStart: string | undefined;
 
-  /** Calls so far: what they were, and on which table. */
+  /** Calls so far, by kind and table. */
   readonly calls: { kind: 'read' | 'feed' | 'transact'; table: string }[] = [];
 
-  /** Told of each transaction that was done, before its answer. */
+  /** Called after each committed transaction, before it is answered. */
   onDone: (tx: Transaction) => void = () => undefined;
 
   readonly #tables: RowTables;
@@ -50,7 +50,7 @@
 
   async transact(tx: Transaction, { timeoutMs }: { timeoutMs: number }): Promise<TransactResult> {
     this.calls.push({ kind: 'transact', table: tx.set[0]?.table ?? '' });
-    if (this.fault === 'refuse') return { outcome: 'refused', detail: 'told to refuse' };
+    if (this.fault === 'refuse') return { outcome: 'refused', detail: 'injected refusal' };
     if (this.fault === 'silent') {
       return delayed(timeoutMs, { outcome: 'unknown', detail: 'silent' });
     }
@@ -74,9 +74,9 @@
   ): Promise<ReadResult> {
     this.calls.push({ kind: 'read', table: range.table });
     if (this.fault === 'silent') return delayed(timeoutMs, { outcome: 'failed', detail: 'silent' });
-    if (this.fault === 'refuse') return { outcome: 'failed', detail: 'told to refuse' };
+    if (this.fault === 'refuse') return { outcome: 'failed', detail: 'injected refusal' };
     if (range.from === this.unreadableRangeStart && range.from !== undefined) {
-      return { outcome: 'failed', detail: 'told not to answer' };
+      return { outcome: 'failed', detail: 'injected read failure' };
     }
     await pause(this.answerMs);
     const { version } = this.#tables;
@@ -89,7 +89,7 @@
   ): Promise<FeedResult> {
     this.calls.push({ kind: 'feed', table });
     if (this.fault === 'silent') return delayed(timeoutMs, { outcome: 'failed', detail: 'silent' });
-    if (this.fault === 'refuse') return { outcome: 'failed', detail: 'told to refuse' };
+    if (this.fault === 'refuse') return { outcome: 'failed', detail: 'injected refusal' };
     if (this.feedStandsStill) {
       return delayed(FROZEN_FEED_MS, { outcome: 'failed', detail: 'frozen' });
     }
--- a/packages/cell/src/testing/memory-runner.support.ts
+++ b/packages/cell/src/testing/memory-runner.support.ts
@@ -1,27 +1,27 @@
-/** An emulated runner as a guard of a test calls it, with answers that are lost and starts that come late. */
+/** In-memory runner port for a guard of a test, with lost answers and delayed starts. */
 import type { RunnerModel } from '@zincspan/stand-ins';
 import type { Listing, RunnerAnswer, RunnerLife, RunnerPort } from '../guard/runner-port.js';
 import { pause } from '../clock/pause.js';
 
 const ANSWER_MS = 1;
 
-/** Calls one machine's runner, whichever life it is in. */
+/** Calls the emulated runner on one machine, whichever incarnation is current. */
 export class MemoryRunner implements RunnerPort {
   life: RunnerModel | undefined;
 
-  /** No call gets through. */
+  /** The runner is unreachable: no call gets through. */
   dark = false;
 
-  /** Starts get no answer and are carried out after this long, in ms. */
+  /** Starts are not answered, and are executed after this delay, in ms. */
   lateStartsMs: number | undefined;
 
-  /** Starts that were sent while no call got through, and have been given up. */
+  /** Number of starts that timed out because the runner was unreachable. */
   unreachableStarts = 0;
 
-  /** Starts that got no answer for that. */
+  /** Number of starts that were delayed by `lateStartsMs`. */
   lateStarts = 0;
 
-  /** So many starts have their connections reset, each second one only after it was carried out. */
+  /** The next so many starts get a connection reset, every second one only after it was executed. */
   resetStarts = 0;
 
   constructor(life: RunnerModel) {
@@ -41,11 +41,11 @@
       return answer;
     }
     if (lateStartsMs !== undefined) {
-      // By then another life may be there, and takes it if it has the id that the call was meant for.
+      // By then another incarnation may be running, which accepts the start if it has the same id.
       setTimeout(() => this.#target(life)?.start(order), lateStartsMs);
       this.lateStarts += 1;
       await pause(timeoutMs);
-      return { outcome: 'no-answer', detail: 'late' };
+      return { outcome: 'no-answer', detail: 'start delayed' };
     }
     await pause(ANSWER_MS);
     if (this.resetStarts > 0) {
@@ -115,6 +115,6 @@
     if (!this.dark && this.life !== undefined) return { outcome: 'wrong-life' };
     if (!this.dark) return { outcome: 'no-answer', detail: 'connection refused' };
     await pause(timeoutMs);
-    return { outcome: 'no-answer', detail: 'dark' };
+    return { outcome: 'no-answer', detail: 'runner unreachable' };
   }
 }
--- a/packages/cell/src/testing/test-cell.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -1,4 +1,4 @@
-/** Entries and guards of a small cell in one process: real links over loopback, store and runners in memory. */
+/** Entries and guards of a small cell in one process, with real links over loopback and in-memory store and runners. */
 import { createServer } from 'node:net';
 import { SystemClock, quietContext, type CountingMetrics } from '@zincspan/core';
 import { GangBoard, RowTables, RunnerModel, type AdvisorModel } from '@zincspan/stand-ins';
@@ -34,16 +34,16 @@
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
 const HEARTBEAT_MS = 300;
 
-/** Of a worker, unless a test says otherwise. */
+/** Default failure domain of a worker. */
 const FAILURE_DOMAIN = 'hall';
 
-/** Of a worker, unless a test says otherwise. */
+/** Default number of accelerators of a worker. */
 const ACCELERATORS = 8;
 
-/** A runner that a task crashed is back as another life after this time, in ms. */
+/** Time until a runner that was crashed by a task is back as a new incarnation. */
 const RUNNER_RESTART_MS = 300;
 
-/** An answer of the emulated advisor takes this long. */
+/** Latency of the emulated advisor. */
 const ADVICE_MS = 20;
 
 interface TestEntry {
@@ -53,7 +53,7 @@
   metrics: CountingMetrics;
 }
 
-/** The host's clocks, with a time of day that can be made to jump. */
+/** The host's clocks, with a time of day that a test can shift. */
 class SteppedClock extends SystemClock {
   wallOffsetMs = 0;
 
@@ -62,7 +62,7 @@
   }
 }
 
-/** A cell that runs until `stop`. */
+/** A cell that runs until `stop` is called. */
 export class TestCell {
   readonly tables = new RowTables();
 
@@ -76,26 +76,26 @@
 
   readonly #log = new LogRecorder();
 
-  /** Of all entries. */
+  /** Clock of all entries. */
   readonly clock = new SteppedClock();
 
-  /** Where a task crashes a runner, the guard beside it is started anew before the runner is back. */
+  /** When a task crashes a runner, the guard beside it restarts too, before the runner is back. */
   crashesRestartGuards = false;
 
-  /** A runner that starts again keeps its id, as it may on the platform; otherwise each life has an id of its own. */
+  /** A restarted runner keeps its id, as may happen on the platform; otherwise each incarnation has its own id. */
   reusesRunnerIds = false;
 
-  /** How far the time of day of runners that start is behind, in ms. */
+  /** How far the time of day of newly started runners lags behind, in ms. */
   runnerClockLagMs = 0;
 
-  /** Runs that worked at the same time as another run of their task. */
+  /** Runs that were active at the same time as another run of their task. */
   readonly overlappingRuns: string[] = [];
 
   readonly #activeRunCounts = new Map<string, number>();
 
   #lastBornMs = 0;
 
-  /** Asked about queues that need advice; without one these refuse. */
+  /** Placement advisor for queues that need advice; without one these refuse jobs. */
   advisor: AdvisorModel | undefined;
 
   #jobCount = 0;
@@ -106,7 +106,7 @@
 
   #stopped = false;
 
-  /** The operator's next configuration. */
+  /** Publishes the operator's next configuration. */
   configure(change: Partial<CellConfig> = {}): void {
     this.#configVersion += 1;
     const config: CellConfig = {
@@ -121,13 +121,13 @@
     this.tables.transact({ expected: [], set: [{ ...CONFIG_KEY, value }], remove: [] });
   }
 
-  /** The operator asks for nothing more to start in a failure domain. */
+  /** The operator evacuates a failure domain: nothing more may start there. */
   evacuate(failureDomain: string): void {
     const row = { ...evacuationKey(failureDomain), value: Buffer.from('{}') };
     this.tables.transact({ expected: [], set: [row], remove: [] });
   }
 
-  /** The operator takes a failure domain back. */
+  /** The operator ends the evacuation of a failure domain. */
   endEvacuation(failureDomain: string): void {
     this.tables.transact({ expected: [], set: [], remove: [evacuationKey(failureDomain)] });
   }
@@ -163,14 +163,14 @@
     return entry;
   }
 
-  /** Starts it with this many entries and workers, and waits until it has an owner. */
+  /** Starts the cell with this many entries and workers, and waits until it has an owner. */
   async start(entries: number, workers: number): Promise<void> {
     this.configure();
     for (let each = 0; each < entries; each++) await this.addEntry();
     for (let each = 0; each < workers; each++) this.addWorker();
     const isReady = (): boolean => this.entries.every(({ app }) => app.isReady);
     if (await eventually(() => isReady() && this.owner() !== undefined)) return;
-    throw new Error('the cell of a test is not ready');
+    throw new Error('test cell was not ready in time');
   }
 
   addWorker({ rack = 'r1', failureDomain = FAILURE_DOMAIN } = {}): TestWorker {
@@ -197,7 +197,7 @@
     return worker;
   }
 
-  /** The runner on this worker crashes and comes back as another life. */
+  /** Crashes the runner on this worker and immediately starts a new incarnation. */
   replaceRunner(worker: TestWorker): void {
     worker.runner.life?.crash();
     const earlier = worker.lives.at(-1)?.id ?? '';
@@ -207,7 +207,7 @@
     worker.lives.push(life);
   }
 
-  /** The runner on this worker crashes, and comes back as another life after `awayMs`. */
+  /** Crashes the runner on this worker and starts a new incarnation after `awayMs`. */
   crashRunner(worker: TestWorker, awayMs: number): void {
     worker.runner.life?.crash();
     if (this.#stopped) return;
@@ -230,21 +230,21 @@
     return this.#jobCount.toString(16).padStart(16, '0');
   }
 
-  /** What any entry says of a job. */
+  /** State of a job as reported by a ready entry. */
   async jobState(id: string): Promise<string> {
     const entry = this.entries.find(({ app }) => app.isReady) ?? this.entries[0];
     const result = await entry?.app.calls.state(jobCall(id));
     return result?.outcome === 'state' ? result.state : (result?.outcome ?? 'no entry');
   }
 
-  /** The id of the entry that owns the cell, by its row. */
+  /** The entry that owns the cell according to the owner's row. */
   owner(): TestEntry | undefined {
     const row = this.tables.get(OWNER_KEY);
     const holder = row && unpackOwner(row.value).holder?.id;
     return this.entries.find(({ id }) => id === holder);
   }
 
-  /** Starts of a job's tasks, over all runners and lives. */
+  /** Starts of a job's tasks on all runners and incarnations, oldest first. */
   starts(jobId: string): { task: string; run: number; at: number; checkpoint: string }[] {
     return this.workers
       .flatMap(({ lives }) => lives.flatMap(({ starts }) => starts))
@@ -252,7 +252,7 @@
       .sort((a, b) => a.at - b.at);
   }
 
-  /** A job's progress as its row says; undefined while there is none. */
+  /** Progress of a job according to its row; undefined while there is none. */
   storedProgress(jobId: string): JobProgress | undefined {
     const progressRow = this.tables.get(jobRowKey(jobId, 'progress'));
     const submissionRow = this.tables.get(jobRowKey(jobId, 'submission'));
@@ -260,14 +260,14 @@
     return unpackProgress(unpackSubmission(submissionRow.value), progressRow.value);
   }
 
-  /** Highest run of any task of the job that its row knows. */
+  /** Highest run number of any task of the job according to its row. */
   highestStoredRun(jobId: string): number {
     const occurrences = this.storedProgress(jobId)?.occurrences ?? [];
     const tasks = occurrences.flatMap(({ steps }) => steps.flatMap((step) => step.tasks));
     return Math.max(0, ...tasks.map(({ run }) => run));
   }
 
-  /** Lines of all entries with this message, the oldest first. */
+  /** Log lines of all entries with this message, oldest first. */
   logged(msg: string): LoggedLine[] {
     return this.#log.withMessage(msg);
   }
@@ -315,7 +315,7 @@
   return { table, part, key: `${keyPrefix}${failureDomain}` };
 }
 
-/** The emulated advisor as an owner calls it. */
+/** Adapts the emulated advisor to the interface that an owner calls. */
 function inMemoryAdvisor(model: AdvisorModel): Advisor {
   return {
     advise: async (step, runners) => {
@@ -326,13 +326,13 @@
   };
 }
 
-/** The entry is gone, and nothing that it sends reaches the store any more. */
+/** Stops the entry, and nothing that it sends reaches the store any more. */
 export function crashEntry({ app, store }: TestEntry): void {
   Object.assign(store, { fault: 'silent' });
   void app.stop();
 }
 
-/** The same the moment it writes a run down. */
+/** Crashes the entry as soon as it has stored a job's progress, before the write is answered. */
 export function crashEntryAtProgressWrite(entry: TestEntry): void {
   Object.assign(entry.store, {
     onDone: ({ set }: Transaction) => {
@@ -341,7 +341,7 @@
   });
 }
 
-/** A call about a job of the tests' queue. */
+/** A call concerning a job of the default queue. */
 export function jobCall(
   rest: string,
   key = TEST_API_KEY,
@@ -349,7 +349,7 @@
   return { host: TEST_HOST, path: `${TEST_PATH_PREFIX}${rest}`, key };
 }
 
-/** Hands a job in at an entry; answers the outcome. */
+/** Submits a job to an entry; returns the outcome. */
 export async function submitJob(
   entry: TestEntry,
   id: string,
@@ -364,7 +364,7 @@
   return outcome;
 }
 
-/** Awaits a condition, for at most this long, in ms; true if it came. */
+/** Polls a condition for at most `limitMs`; true if it became true. */
 export async function eventually(
   condition: () => boolean | Promise<boolean>,
   limitMs = 10_000,
--- a/packages/cell/src/testing/test-evacuations.support.ts
+++ b/packages/cell/src/testing/test-evacuations.support.ts
@@ -1,14 +1,14 @@
-/** Where the operator's evacuations stand in tests, and those of tests that have none. */
+/** Source of the operator's evacuations in tests, and an empty set of evacuations. */
 import { Evacuations, type EvacuationSource } from '../evacuation/evacuations.js';
 
-/** Beside the operator's configuration. */
+/** In the same table as the operator's configuration. */
 export const TEST_EVACUATION_SOURCE: EvacuationSource = {
   table: 'operator',
   part: '',
   keyPrefix: 'evacuation/',
 };
 
-/** Nothing is evacuated, and that is known for good. */
+/** No evacuations, in a state that never becomes stale. */
 export function noEvacuations(): Evacuations {
   const evacuations = new Evacuations({
     source: TEST_EVACUATION_SOURCE,
--- a/packages/cell/src/testing/test-jobs.support.ts
+++ b/packages/cell/src/testing/test-jobs.support.ts
@@ -1,4 +1,4 @@
-/** Queues, steps and jobs with the defaults of tests. */
+/** Queues, steps and jobs with default values for tests. */
 import type { Queue } from '../config/cell-config.js';
 import { submissionSchema, type Step, type Submission } from '../job/submission.js';
 import { OwnedJob } from '../owner/owned-job.js';
@@ -20,7 +20,7 @@
   needsAdvice: false,
 };
 
-/** A step with the defaults of tests: one task of one accelerator. */
+/** A step with default values: one task of one accelerator. */
 export function testStep(change: Partial<Step> = {}): Step {
   return {
     tasks: 1,
@@ -38,7 +38,7 @@
   };
 }
 
-/** A submission with the defaults of tests. */
+/** A submission with default values. */
 export function testSubmission(change: Partial<Submission>): Submission {
   return submissionSchema.parse({
     id: '0'.repeat(16),
@@ -59,7 +59,7 @@
   });
 }
 
-/** A job in the owner's hands, of which nothing is written but what is said. */
+/** A job held by the owner that has no rows but its submission, unless changed. */
 export function testOwnedJob(
   submission: Submission,
   change: Partial<ConstructorParameters<typeof OwnedJob>[0]> = {},
--- a/packages/cell/src/testing/test-worker.support.ts
+++ b/packages/cell/src/testing/test-worker.support.ts
@@ -1,4 +1,4 @@
-/** A worker of a test's cell: its emulated runner, life after life, and the guard beside it. */
+/** A worker of a test's cell: the successive incarnations of its emulated runner, and the guard beside it. */
 import { quietContext } from '@zincspan/core';
 import type { RunnerModel } from '@zincspan/stand-ins';
 import { GuardApp } from '../guard/guard-app.js';
@@ -6,13 +6,13 @@
 import type { MemoryRowStore } from './memory-row-store.support.js';
 import type { MemoryRunner } from './memory-runner.support.js';
 
-/** Shared by all processes of a test. */
+/** Link key of all processes of a test. */
 export const LINK_KEY = '0'.repeat(64);
 
-/** Lease of tests: longer than an owner takes to be replaced, as the real one is. */
+/** Lease in tests: longer than it takes to replace an owner, like the real one. */
 export const TEST_LEASE_MS = 4000;
 
-/** One of them. */
+/** A worker with its processes and their emulated state. */
 export interface TestWorker {
   id: string;
   guard: GuardApp;
@@ -20,18 +20,18 @@
   store: MemoryRowStore;
   lives: RunnerModel[];
   heartbeatTimer: NodeJS.Timeout;
-  /** Its runner leaves after at least this long, in ms. */
+  /** Minimum time until its runner leaves, in ms; undefined if it isn't draining. */
   remainingMs: number | undefined;
-  /** Heartbeats of its runner don't come. */
+  /** Its runner sends no heartbeats. */
   isHeartbeatMuted: boolean;
-  /** Heartbeats of its runner's present life. */
+  /** Number of heartbeats of its runner's current incarnation. */
   beats: number;
-  /** What its runner says of its room; the emulated runner takes more all the same. */
+  /** Accelerators that its runner reports; the emulated runner accepts more than that. */
   accelerators: number;
   failureDomain: string;
 }
 
-/** The runner reports to its guard. */
+/** Sends a heartbeat of the runner to its guard. */
 export function sendHeartbeat(worker: TestWorker, rack = 'r1'): void {
   const { life, dark } = worker.runner;
   if (life === undefined || dark || worker.isHeartbeatMuted) return;
@@ -39,7 +39,7 @@
   worker.guard.noteReport(reportOf(worker, life, rack));
 }
 
-/** What a life of the runner says of itself. */
+/** Report of an incarnation of the runner. */
 export function reportOf(
   { remainingMs, accelerators, beats, failureDomain }: TestWorker,
   { id, bornMs }: RunnerModel,
@@ -59,13 +59,13 @@
   };
 }
 
-/** The guard beside it is lost, and starts anew at once. */
+/** Stops the worker's guard and starts a new one immediately. */
 export function restartGuard(worker: TestWorker): void {
   worker.guard.stop();
   Object.assign(worker, { guard: startGuard(worker) });
 }
 
-/** Starts the guard beside it. */
+/** Starts a guard for the worker. */
 export function startGuard({
   id,
   store,
