--- a/packages/cell/src/placing/available-worker.ts
+++ b/packages/cell/src/placing/available-worker.ts
@@ -121,13 +121,8 @@
   }
 
   copy(): AvailableWorker {
-    const { startingJobs: youngJobs, suspectJob: trialOf } = this;
-    return new AvailableWorker({
-      ...this,
-      free: this.#free,
-      startingJobs: youngJobs,
-      suspectJob: trialOf,
-    });
+    const { startingJobs, suspectJob } = this;
+    return new AvailableWorker({ ...this, free: this.#free, startingJobs, suspectJob });
   }
 }
 
--- a/packages/cell/src/testing/test-cell.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -279,8 +279,8 @@
 
   async stop(): Promise<void> {
     this.#stopped = true;
-    this.workers.forEach(({ guard, heartbeatTimer: beat, runner }) => {
-      clearInterval(beat);
+    this.workers.forEach(({ guard, heartbeatTimer, runner }) => {
+      clearInterval(heartbeatTimer);
       guard.stop();
       runner.life?.crash();
     });
--- a/packages/cell/src/testing/test-worker.support.ts
+++ b/packages/cell/src/testing/test-worker.support.ts
@@ -26,7 +26,7 @@
   isHeartbeatMuted: boolean;
   /** Number of heartbeats of its runner's current incarnation. */
   beats: number;
-  /** Accelerators that its runner reports; the emulated runner accepts more than that. */
+  /** Accelerators that its runner reports; the emulated runner does not enforce this limit. */
   accelerators: number;
   failureDomain: string;
 }
