--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -8,7 +8,7 @@
   ownerEntry,
   type CellTestContext,
 } from '../owner/cell-test-context.support.js';
-import { eventually } from '../testing/cell-world.support.js';
+import { eventually } from '../testing/test-cell.support.js';
 
 Then(
   'no guard calls the store more than twice in the next 4 s',
--- a/packages/cell/src/job/job-view.ts
+++ b/packages/cell/src/job/job-view.ts
@@ -1,30 +1,30 @@
-/** Jobs as their rows say, put together from rows in any order. */
+/** In-memory view of jobs, assembled from their rows in any order. */
 import type { ProcessContext } from '@zincspan/core';
 import type { FeedRow, Row } from '../store/row-store.js';
 import { parseJobRowKey, unpackProgress, unpackSubmission } from './job-rows.js';
 import { JobProgress, type JobState } from './progress.js';
 import type { Submission } from './submission.js';
 
-/** A job as its rows say. Versions are those of the rows; 0 where there is none. */
-export interface KnownJob {
+/** State of a job according to its rows. Versions are those of the rows; 0 where there is none. */
+export interface JobSnapshot {
   id: string;
   submission: Submission;
   submissionVersion: number;
-  /** Undefined until the owner has first written it. */
+  /** Undefined until the owner first writes it. */
   progress?: JobProgress;
   progressVersion: number;
   cancelled: boolean;
 }
 
-/** Told of each change, after it was applied. */
-export type JobListener = (job: KnownJob) => void;
+/** Called after each change was applied. */
+export type JobListener = (job: JobSnapshot) => void;
 
-/** Jobs whose rows were seen. */
+/** All jobs whose rows have been received. */
 export class JobView {
-  readonly #jobs = new Map<string, KnownJob>();
+  readonly #jobs = new Map<string, JobSnapshot>();
 
-  /** Rows of jobs whose submission hasn't come yet. */
-  readonly #early = new Map<string, FeedRow[]>();
+  /** Rows of jobs whose submission hasn't been received yet. */
+  readonly #pendingRows = new Map<string, FeedRow[]>();
 
   readonly #listeners: JobListener[] = [];
 
@@ -38,22 +38,21 @@
     this.#listeners.push(listener);
   }
 
-  all(): IterableIterator<KnownJob> {
+  all(): IterableIterator<JobSnapshot> {
     return this.#jobs.values();
   }
 
-  get(id: string): KnownJob | undefined {
+  get(id: string): JobSnapshot | undefined {
     return this.#jobs.get(id);
   }
 
-  /** Drops what is known of a job. */
-  forget(id: string): void {
+  remove(id: string): void {
     this.#jobs.delete(id);
-    this.#early.delete(id);
+    this.#pendingRows.delete(id);
   }
 
-  /** Jobs of a queue that were accepted and of which no task has started. */
-  waiting(queue: string): number {
+  /** Number of accepted jobs of a queue that have started no task yet. */
+  countWaiting(queue: string): number {
     let count = 0;
     this.#jobs.forEach((job) => {
       if (job.submission.queue === queue && isWaiting(job)) count += 1;
@@ -61,28 +60,31 @@
     return count;
   }
 
-  /** Takes a row, unless a newer one of it is known. Answers whose it is; undefined if it is no job's. */
+  /** Applies a row unless a newer version is known. Returns its job's id; undefined if it isn't a job's row. */
   apply(row: FeedRow): string | undefined {
-    const name = parseJobRowKey(row.key);
-    if (name === undefined) return undefined;
-    const { id, kind } = name;
+    const parsed = parseJobRowKey(row.key);
+    if (parsed === undefined) return undefined;
+    const { id, kind } = parsed;
     if (row.deleted) {
-      if (kind === 'submission') this.forget(id);
+      if (kind === 'submission') this.remove(id);
       return id;
     }
     try {
       if (kind === 'submission') this.#applySubmission(id, row);
-      else this.#applyToKnown(id, kind, row);
+      else this.#applyUpdate(id, kind, row);
     } catch (err) {
       this.#ctx.metrics.count('job.row-unreadable');
-      this.#ctx.log.error({ err, key: row.key, version: row.version }, 'job row unreadable');
+      this.#ctx.log.error(
+        { err, key: row.key, version: row.version },
+        'cannot decode job row; ignoring it',
+      );
     }
     return id;
   }
 
   #applySubmission(id: string, row: Row): void {
     if (this.#jobs.has(id)) return;
-    const job: KnownJob = {
+    const job: JobSnapshot = {
       id,
       submission: unpackSubmission(row.value),
       submissionVersion: row.version,
@@ -90,16 +92,16 @@
       cancelled: false,
     };
     this.#jobs.set(id, job);
-    const early = this.#early.get(id) ?? [];
-    this.#early.delete(id);
-    early.forEach((each) => this.apply(each));
-    this.#tell(job);
+    const pending = this.#pendingRows.get(id) ?? [];
+    this.#pendingRows.delete(id);
+    pending.forEach((each) => this.apply(each));
+    this.#notifyListeners(job);
   }
 
-  #applyToKnown(id: string, kind: 'progress' | 'cancellation', row: FeedRow): void {
+  #applyUpdate(id: string, kind: 'progress' | 'cancellation', row: FeedRow): void {
     const job = this.#jobs.get(id);
     if (job === undefined) {
-      this.#early.set(id, [...(this.#early.get(id) ?? []), row]);
+      this.#pendingRows.set(id, [...(this.#pendingRows.get(id) ?? []), row]);
       return;
     }
     if (kind === 'cancellation') {
@@ -109,21 +111,21 @@
       job.progress = unpackProgress(job.submission, row.value);
       job.progressVersion = row.version;
     }
-    this.#tell(job);
+    this.#notifyListeners(job);
   }
 
-  #tell(job: KnownJob): void {
+  #notifyListeners(job: JobSnapshot): void {
     this.#listeners.forEach((listener) => listener(job));
   }
 }
 
-/** What a caller is told of a job. */
-export function jobState({ submission, progress, cancelled }: KnownJob): JobState {
+/** State of a job as reported to callers. */
+export function jobState({ submission, progress, cancelled }: JobSnapshot): JobState {
   const { state } = progress ?? new JobProgress(submission);
   return cancelled && (state === 'queued' || state === 'running') ? 'cancelled' : state;
 }
 
-function isWaiting({ progress, cancelled }: KnownJob): boolean {
+function isWaiting({ progress, cancelled }: JobSnapshot): boolean {
   if (cancelled) return false;
   return progress === undefined || (progress.outcome === 'open' && !progress.begun);
 }
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -2,14 +2,14 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
 import {
-  CellWorld,
-  callOf,
+  TestCell,
+  jobCall,
   eventually,
-  submit,
-  loseEntry,
-  loseEntryAtWrite,
-} from '../testing/cell-world.support.js';
-import { sendHeartbeat } from '../testing/worker-vm.support.js';
+  submitJob,
+  crashEntry,
+  crashEntryAtProgressWrite,
+} from '../testing/test-cell.support.js';
+import { sendHeartbeat } from '../testing/test-worker.support.js';
 import { TEST_QUEUE, testStep, testSubmission } from '../testing/test-jobs.support.js';
 import { OWNER_ROW_KEY } from './owner-row.js';
 import { entryRowKey } from '../entry/entry-row.js';
@@ -30,7 +30,7 @@
 });
 
 Given('the owner stops the moment a run is written down', function (this: CellTestContext) {
-  loseEntryAtWrite(ownerEntry(this));
+  crashEntryAtProgressWrite(ownerEntry(this));
 });
 
 Given(
@@ -87,7 +87,7 @@
 Then(
   /^its progress says that it is (completed|failed)$/,
   async function (this: CellTestContext, outcome: string) {
-    const isSo = (): boolean => cellOf(this).writtenProgress(firstJob(this))?.outcome === outcome;
+    const isSo = (): boolean => cellOf(this).storedProgress(firstJob(this))?.outcome === outcome;
     assert.ok(await eventually(isSo));
   },
 );
@@ -104,7 +104,7 @@
 Given('a cell that keeps ended jobs for 1 s', async function (this: CellTestContext) {
   const cell = cellOf(this);
   await cell.stop();
-  const fresh = new CellWorld();
+  const fresh = new TestCell();
   fresh.keepEndedMs = 1000;
   this.cell = fresh;
   await fresh.start(2, 1);
@@ -116,7 +116,7 @@
     const cell = cellOf(this);
     cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
     const isRefused = async () =>
-      (await submit(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
+      (await submitJob(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
     assert.ok(await eventually(isRefused, 2000));
   },
 );
@@ -157,7 +157,7 @@
   async function (this: CellTestContext) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
-    const { outcome } = await cutOff.app.calls.state(callOf(firstJob(this)));
+    const { outcome } = await cutOff.app.calls.state(jobCall(firstJob(this)));
     assert.equal(outcome, 'state');
     assert.equal(cutOff.metrics.counters.get('call.state.state'), 1);
   },
@@ -183,7 +183,7 @@
   const cell = cellOf(this);
   const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
-  assert.equal(await submit(cutOff, cell.newJobId()), 'accepted');
+  assert.equal(await submitJob(cutOff, cell.newJobId()), 'accepted');
 });
 
 Given(
@@ -208,7 +208,7 @@
     assert.ok(cutOff);
     const id = cell.newJobId();
     this.jobs.push(id);
-    assert.equal(await submit(cutOff, id), expected);
+    assert.equal(await submitJob(cutOff, id), expected);
   },
 );
 
@@ -246,7 +246,7 @@
 );
 
 When('the owner is lost', function (this: CellTestContext) {
-  loseEntry(ownerEntry(this));
+  crashEntry(ownerEntry(this));
 });
 
 When('the owner is cut from the store', function (this: CellTestContext) {
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -19,7 +19,7 @@
   type EvacuationSource,
 } from '../evacuation/evacuations.js';
 import { JOB_TABLE } from '../job/job-rows.js';
-import { JobView, type KnownJob } from '../job/job-view.js';
+import { JobView, type JobSnapshot } from '../job/job-view.js';
 import { runnerIdOf } from '../runner/life-name.js';
 import type { Row, RowKey, RowStore } from '../store/row-store.js';
 import { TableFollower } from '../store/table-follower.js';
@@ -236,10 +236,10 @@
 
   /** Number of waiting jobs of a queue; undefined until the jobs are loaded. */
   waitingJobs(queue: string): number | undefined {
-    return this.#loaded && !this.#stopped ? this.#jobView.waiting(queue) : undefined;
+    return this.#loaded && !this.#stopped ? this.#jobView.countWaiting(queue) : undefined;
   }
 
-  #onJobChanged(known: KnownJob): void {
+  #onJobChanged(known: JobSnapshot): void {
     if (!this.#loaded || this.#stopped) return;
     const owned = this.#registry.jobs.get(known.id);
     if (owned !== undefined) {
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -3,8 +3,8 @@
 import { SLOW_CLOCK } from '../clock/lease-margin.js';
 import { pause } from '../clock/pause.js';
 import type { Step } from '../job/submission.js';
-import { CellWorld, callOf, eventually, submit } from '../testing/cell-world.support.js';
-import { TEST_LEASE_MS } from '../testing/worker-vm.support.js';
+import { TestCell, jobCall, eventually, submitJob } from '../testing/test-cell.support.js';
+import { TEST_LEASE_MS } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
@@ -19,7 +19,7 @@
 Given(
   'a cell of {int} entries and {int} worker(s)',
   async function (this: CellTestContext, entries: number, workers: number) {
-    const cell = new CellWorld();
+    const cell = new TestCell();
     this.cell = cell;
     this.jobs = [];
     await cell.start(entries, workers);
@@ -117,7 +117,7 @@
 );
 
 When('it is cancelled', async function (this: CellTestContext) {
-  const { outcome } = await nonOwnerEntry(this).app.calls.cancel(callOf(firstJob(this)));
+  const { outcome } = await nonOwnerEntry(this).app.calls.cancel(jobCall(firstJob(this)));
   assert.equal(outcome, 'cancelled');
 });
 
@@ -125,7 +125,7 @@
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
-  const outcomes = await Promise.all(cell.entries.map((entry) => submit(entry, id)));
+  const outcomes = await Promise.all(cell.entries.map((entry) => submitJob(entry, id)));
   assert.deepEqual(outcomes, ['accepted', 'accepted']);
 });
 
@@ -135,10 +135,10 @@
     const cell = cellOf(this);
     const id = cell.newJobId();
     this.jobs.push(id);
-    const first = await submit(nonOwnerEntry(this), id);
+    const first = await submitJob(nonOwnerEntry(this), id);
     assert.ok(['unknown', 'accepted'].includes(first));
     nonOwnerEntry(this).store.fault = 'none';
-    assert.equal(await submit(ownerEntry(this), id), 'accepted');
+    assert.equal(await submitJob(ownerEntry(this), id), 'accepted');
   },
 );
 
@@ -148,12 +148,12 @@
 
 Then('it completes', { timeout: 30_000 }, async function (this: CellTestContext) {
   const cell = cellOf(this);
-  const isComplete = async () => (await cell.state(firstJob(this))) === 'completed';
-  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.state(firstJob(this))}`);
+  const isComplete = async () => (await cell.jobState(firstJob(this))) === 'completed';
+  assert.ok(await eventually(isComplete, 25_000), `state: ${await cell.jobState(firstJob(this))}`);
 });
 
 Then('all of them complete', async function (this: CellTestContext) {
-  const states = () => Promise.all(this.jobs.map((id) => cellOf(this).state(id)));
+  const states = () => Promise.all(this.jobs.map((id) => cellOf(this).jobState(id)));
   assert.ok(await eventually(async () => (await states()).every((s) => s === 'completed')));
 });
 
@@ -167,16 +167,16 @@
 });
 
 Then('a job handed in is refused as not accepted', async function (this: CellTestContext) {
-  assert.equal(await submit(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
+  assert.equal(await submitJob(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
 });
 
 Then('it fails', async function (this: CellTestContext) {
   const cell = cellOf(this);
-  assert.ok(await eventually(async () => (await cell.state(firstJob(this))) === 'failed'));
+  assert.ok(await eventually(async () => (await cell.jobState(firstJob(this))) === 'failed'));
 });
 
 Then('it is shown as cancelled', async function (this: CellTestContext) {
-  assert.equal(await cellOf(this).state(firstJob(this)), 'cancelled');
+  assert.equal(await cellOf(this).jobState(firstJob(this)), 'cancelled');
 });
 
 Then('its second step began after all of the first had ended', function (this: CellTestContext) {
@@ -240,7 +240,7 @@
   'a job with that key is refused there as not authenticated',
   async function (this: CellTestContext) {
     const cell = cellOf(this);
-    assert.equal(await submit(nonOwnerEntry(this), cell.newJobId()), 'not-authenticated');
+    assert.equal(await submitJob(nonOwnerEntry(this), cell.newJobId()), 'not-authenticated');
   },
 );
 
@@ -249,7 +249,7 @@
   async function (this: CellTestContext, limitMs: number) {
     const cell = cellOf(this);
     const startedAt = performance.now();
-    assert.equal(await submit(nonOwnerEntry(this), cell.newJobId()), 'not-accepted');
+    assert.equal(await submitJob(nonOwnerEntry(this), cell.newJobId()), 'not-accepted');
     assert.ok(performance.now() - startedAt < limitMs);
   },
 );
--- a/packages/cell/src/owner/changing-capacity.steps.ts
+++ b/packages/cell/src/owner/changing-capacity.steps.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
 import { pause } from '../clock/pause.js';
-import { eventually } from '../testing/cell-world.support.js';
-import { sendHeartbeat } from '../testing/worker-vm.support.js';
+import { eventually } from '../testing/test-cell.support.js';
+import { sendHeartbeat } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, submitJob, firstJob, type CellTestContext } from './cell-test-context.support.js';
 
@@ -48,7 +48,7 @@
   { timeout: 15_000 },
   async function (this: CellTestContext, max: number) {
     let maxSeen = 0;
-    while ((await cellOf(this).state(firstJob(this))) !== 'completed') {
+    while ((await cellOf(this).jobState(firstJob(this))) !== 'completed') {
       maxSeen = Math.max(maxSeen, runningTasks(this));
       await pause(POLL_INTERVAL_MS);
     }
@@ -64,7 +64,7 @@
     const [first, second] = this.jobs;
     assert.ok(first !== undefined && second !== undefined);
     assert.ok(await eventually(() => cell.starts(second).length > 0));
-    assert.equal(await cell.state(first), 'completed');
+    assert.equal(await cell.jobState(first), 'completed');
   },
 );
 
--- a/packages/cell/src/owner/crash-attribution.ts
+++ b/packages/cell/src/owner/crash-attribution.ts
@@ -1,6 +1,6 @@
 /** Counts a runner's crash against the tasks that may have caused it. */
 import type { RunnerCrash } from '@zincspan/core';
-import { suspectsAmong } from '../job/crash-record.js';
+import { selectSuspects } from '../job/crash-record.js';
 import type { RunCrash } from '../job/progress.js';
 import { parseTaskName } from '../job/task-name.js';
 import type { Assignment, Worker } from '../worker/worker.js';
@@ -12,7 +12,7 @@
   { vm }: Worker,
   { runs, livedMs }: RunnerCrash,
 ): void {
-  const suspects = suspectsAmong(runs).flatMap(({ task, run, ranMs }) => {
+  const suspects = selectSuspects(runs).flatMap(({ task, run, ranMs }) => {
     const parsed = parseTaskName(task);
     return parsed === undefined ? [] : [{ ...parsed, task, run, ranMs }];
   });
--- a/packages/cell/src/owner/crashing-tasks.steps.ts
+++ b/packages/cell/src/owner/crashing-tasks.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { eventually, loseEntry } from '../testing/cell-world.support.js';
+import { eventually, crashEntry } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import {
   cellOf,
@@ -31,7 +31,7 @@
 Given(
   'a guard is started anew whenever the runner beside it crashes',
   function (this: CellTestContext) {
-    cellOf(this).crashesTakeGuards = true;
+    cellOf(this).crashesRestartGuards = true;
   },
 );
 
@@ -77,7 +77,7 @@
   'after its second start the loss of the owner happens',
   async function (this: CellTestContext) {
     assert.ok(await eventually(() => maxStartsPerTask(this, firstJob(this)) >= 2));
-    loseEntry(ownerEntry(this));
+    crashEntry(ownerEntry(this));
   },
 );
 
@@ -87,7 +87,7 @@
   async function (this: CellTestContext) {
     const job = this.jobs.at(-1);
     assert.ok(job !== undefined);
-    const isFailed = async (): Promise<boolean> => (await cellOf(this).state(job)) === 'failed';
+    const isFailed = async (): Promise<boolean> => (await cellOf(this).jobState(job)) === 'failed';
     assert.ok(await eventually(isFailed, GIVE_UP_TIMEOUT_MS));
   },
 );
@@ -110,7 +110,8 @@
   { timeout: 20_000 },
   async function (this: CellTestContext, which: string) {
     const jobs = which.startsWith('each') ? this.jobs : this.jobs.slice(0, -1);
-    const states = (): Promise<string[]> => Promise.all(jobs.map((id) => cellOf(this).state(id)));
+    const states = (): Promise<string[]> =>
+      Promise.all(jobs.map((id) => cellOf(this).jobState(id)));
     const areOver = async (): Promise<boolean> =>
       (await states()).every((state) => !OPEN_STATES.includes(state));
     assert.ok(await eventually(areOver, GIVE_UP_TIMEOUT_MS));
--- a/packages/cell/src/owner/ended-job-sweeper.ts
+++ b/packages/cell/src/owner/ended-job-sweeper.ts
@@ -1,7 +1,7 @@
 /** Removes the rows of jobs that ended long ago: without it the table, and the owner's view of it, would grow without bound. */
 import type { ProcessContext } from '@zincspan/core';
 import { jobRowKey, type JobRowKind } from '../job/job-rows.js';
-import type { JobView, KnownJob } from '../job/job-view.js';
+import type { JobView, JobSnapshot } from '../job/job-view.js';
 import type { RowStore } from '../store/row-store.js';
 import { OWNER_ROW_KEY } from './owner-row.js';
 
@@ -68,7 +68,7 @@
     if (!this.#stopped) this.start();
   }
 
-  #dueJobs(): KnownJob[] {
+  #dueJobs(): JobSnapshot[] {
     const { view, ctx, keepEndedMs } = this.#options;
     const now = ctx.clock.now();
     return [...view.all()]
@@ -81,7 +81,7 @@
       .slice(0, JOBS_PER_SWEEP);
   }
 
-  async #remove(jobs: readonly KnownJob[]): Promise<void> {
+  async #remove(jobs: readonly JobSnapshot[]): Promise<void> {
     const { store, ctx, ownerVersion } = this.#options;
     const result = await store.transact(
       {
@@ -101,7 +101,7 @@
 }
 
 /** True if the job has ended and no run of it may be active any more. */
-function hasFullyEnded(progress: KnownJob['progress']): boolean {
+function hasFullyEnded(progress: JobSnapshot['progress']): boolean {
   if (progress === undefined || progress.outcome === 'open') return false;
   return progress.activeRuns().length === 0;
 }
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -1,10 +1,10 @@
 /** The workers of a cell: which may be given tasks, and whose leases have certainly expired. */
 import type { Clock } from '@zincspan/core';
 import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
-import { FRESH_RUNNER_MS } from '../job/crash-record.js';
+import { RECENT_RESTART_MS } from '../job/crash-record.js';
 import type { Evacuations } from '../evacuation/evacuations.js';
 import { Worker, type Assignment } from '../worker/worker.js';
-import { Room } from '../placing/room.js';
+import { AvailableWorker } from '../placing/available-worker.js';
 
 /** Nothing is placed on a worker whose last contact is older: it has missed two. */
 const MAX_CONTACT_AGE_MS = 2200;
@@ -93,7 +93,7 @@
   }
 
   /** Free capacity on all schedulable workers. */
-  availableWorkers(): Room[] {
+  availableWorkers(): AvailableWorker[] {
     const now = this.#clock.now();
     return [...this.#workers.values()]
       .filter((worker) => !this.isEvacuated(worker) && isAvailable(worker, now))
@@ -107,10 +107,10 @@
   return now - contactAt < MAX_CONTACT_AGE_MS && now >= avoidUntil;
 }
 
-function toAvailableWorker(worker: Worker, now: number): Room {
+function toAvailableWorker(worker: Worker, now: number): AvailableWorker {
   const { vm, rack, runner } = worker;
   const recentRuns = worker.youngRuns(now);
-  return new Room({
+  return new AvailableWorker({
     vm,
     runner: runner?.id ?? '',
     rack,
@@ -118,10 +118,10 @@
     service: runner?.service ?? '',
     free: worker.free(),
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
-    suspicion: worker.health.suspicion(now),
-    youngJobs: new Set(recentRuns.map(({ jobId }) => jobId)),
-    trialOf: recentRuns.find(({ isOnTrial }) => isOnTrial)?.jobId,
+    penalty: worker.health.suspicion(now),
+    startingJobs: new Set(recentRuns.map(({ jobId }) => jobId)),
+    suspectJob: recentRuns.find(({ isOnTrial }) => isOnTrial)?.jobId,
     isCold: worker.isCold(now),
-    isFresh: now - worker.lifeSince < FRESH_RUNNER_MS,
+    isRecentlyRestarted: now - worker.lifeSince < RECENT_RESTART_MS,
   });
 }
--- a/packages/cell/src/owner/group-approvals.ts
+++ b/packages/cell/src/owner/group-approvals.ts
@@ -2,16 +2,22 @@
 import type { ApprovalCache, ApprovalStatus } from '../advice/approval-cache.js';
 import type { ApprovalRequest } from '../advice/approval-requester.js';
 import { stepName } from '../job/task-name.js';
-import { fits, isEligible, tasksThatFit, type Group, type Room } from '../placing/room.js';
+import {
+  maxTasks,
+  isEligible,
+  tasksFitting,
+  type TaskGroup,
+  type AvailableWorker,
+} from '../placing/available-worker.js';
 
 /** The platform is sized for one request of this many runners per step. */
 const RUNNERS_PER_REQUEST = 30;
 
 /** Approvals for one group. */
 export class GroupApprovals {
-  readonly #group: Group;
+  readonly #group: TaskGroup;
 
-  readonly #workers: readonly Room[];
+  readonly #workers: readonly AvailableWorker[];
 
   readonly #cache: ApprovalCache;
 
@@ -23,8 +29,8 @@
     cache,
     now,
   }: {
-    group: Group;
-    workers: readonly Room[];
+    group: TaskGroup;
+    workers: readonly AvailableWorker[];
     cache: ApprovalCache;
     now: number;
   }) {
@@ -35,7 +41,7 @@
   }
 
   /** The group, with all runners excluded whose status is not one of these. */
-  restrictTo(...statuses: readonly ApprovalStatus[]): Group {
+  restrictTo(...statuses: readonly ApprovalStatus[]): TaskGroup {
     const excluded = this.#workers
       .filter((worker) => !statuses.includes(this.#status(worker)))
       .map(({ vm }) => vm);
@@ -53,20 +59,20 @@
     const workers = this.#workers
       .filter((worker) => isEligible(this.#group, worker))
       .filter((worker) => this.#status(worker) === 'unknown')
-      .filter((worker) => fits(worker.capacity, this.#group.demand) > 0)
-      .map((worker) => ({ worker, count: tasksThatFit(this.#group, worker) }))
+      .filter((worker) => maxTasks(worker.capacity, this.#group.demand) > 0)
+      .map((worker) => ({ worker, count: tasksFitting(this.#group, worker) }))
       .sort((a, b) => b.count - a.count)
       .map(({ worker }) => worker);
     return this.#request(workers);
   }
 
-  #request(workers: readonly Room[]): ApprovalRequest | undefined {
+  #request(workers: readonly AvailableWorker[]): ApprovalRequest | undefined {
     if (workers.length === 0) return undefined;
     const runners = workers.slice(0, RUNNERS_PER_REQUEST).map(({ runner }) => runner);
     return { step: stepName(this.#group), runners };
   }
 
-  #status({ runner }: Room): ApprovalStatus {
+  #status({ runner }: AvailableWorker): ApprovalStatus {
     return this.#cache.status(stepName(this.#group), runner, this.#now);
   }
 }
--- a/packages/cell/src/owner/pending-groups.ts
+++ b/packages/cell/src/owner/pending-groups.ts
@@ -1,8 +1,8 @@
 /** Lists the groups of a job that wait for capacity. */
-import { SUSPECT_WITHIN_MS, isSuspect } from '../job/crash-record.js';
+import { MAX_SUSPECT_AGE_MS, isSuspect } from '../job/crash-record.js';
 import { isStepReady, type Occurrence, type StepProgress } from '../job/progress.js';
 import type { Step } from '../job/submission.js';
-import type { Group, Placed } from '../placing/room.js';
+import type { TaskGroup, TaskPlacement } from '../placing/available-worker.js';
 import type { OwnedJob } from './owned-job.js';
 import { reservedDemand } from './urgency-factors.js';
 
@@ -19,7 +19,7 @@
  * How long a task suspected of crashing its runner waits for a worker where nothing else has just started. It is longer than a run
  * counts as just started, but not much: a busy service may never have such a worker, and the task may not be the cause.
  */
-const TRIAL_WAIT_MS = SUSPECT_WITHIN_MS + 500;
+const TRIAL_WAIT_MS = MAX_SUSPECT_AGE_MS + 500;
 
 /** Conditions that decide how long a group waits for a rack. */
 export interface RackWaitPolicy {
@@ -35,7 +35,7 @@
 export interface PendingGroup {
   job: OwnedJob;
   step: Step;
-  group: Group;
+  group: TaskGroup;
   readySince: number;
 }
 
@@ -153,7 +153,7 @@
 /** The group without the tasks that were placed; undefined if none are left. */
 export function withoutPlaced(
   pending: PendingGroup,
-  placements: readonly Placed[],
+  placements: readonly TaskPlacement[],
 ): PendingGroup | undefined {
   const placedIndexes = new Set(placements.map(({ index }) => index));
   const indexes = pending.group.indexes.filter((index) => !placedIndexes.has(index));
--- a/packages/cell/src/owner/placement-pass.steps.ts
+++ b/packages/cell/src/owner/placement-pass.steps.ts
@@ -2,8 +2,8 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { ApprovalCache } from '../advice/approval-cache.js';
 import type { Demand } from '../job/submission.js';
-import { DurationBook } from '../placing/duration-book.js';
-import { Room } from '../placing/room.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
+import { AvailableWorker } from '../placing/available-worker.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import type { OwnedJob } from './owned-job.js';
 import type { RunningUnit, PlacementResult } from './placement-types.js';
@@ -11,7 +11,7 @@
 import { QueueMeanWork } from './urgency-factors.js';
 
 interface PlacementSteps {
-  workers: Room[];
+  workers: AvailableWorker[];
   runningUnits: RunningUnit[];
   jobs: OwnedJob[];
   guaranteedJobs: Set<OwnedJob>;
@@ -49,8 +49,8 @@
   return testOwnedJob(submission);
 }
 
-function newWorker(vm: string, free: Demand): Room {
-  return new Room({
+function newWorker(vm: string, free: Demand): AvailableWorker {
+  return new AvailableWorker({
     vm,
     runner: `runner of ${vm}`,
     rack: 'r1',
@@ -157,7 +157,7 @@
     evacuatedRacks: new Set(),
     runningUnits,
     queueMeans: new QueueMeanWork(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     bounds: { reclaimMs: 2700, stopMs: 200 },
     now: 0,
     wallMs: 0,
--- a/packages/cell/src/owner/placement-pass.ts
+++ b/packages/cell/src/owner/placement-pass.ts
@@ -1,7 +1,7 @@
 /** One placement pass over all pending groups: what starts where, and what is preempted for it. Only decides, changes no state. */
-import { placeGroup } from '../placing/fit.js';
-import { RoomLedger } from '../placing/room-ledger.js';
-import type { Group } from '../placing/room.js';
+import { placeGroup } from '../placing/best-fit.js';
+import { CapacityLedger } from '../placing/capacity-ledger.js';
+import type { TaskGroup } from '../placing/available-worker.js';
 import { GroupApprovals } from './group-approvals.js';
 import { rankPendingGroups, type RankedGroup } from './ranked-groups.js';
 import type { PlacementInput, PlacementResult } from './placement-types.js';
@@ -16,7 +16,7 @@
 
   readonly #input: PlacementInput;
 
-  readonly #ledger: RoomLedger;
+  readonly #ledger: CapacityLedger;
 
   readonly #preemptor: Preemptor;
 
@@ -25,7 +25,7 @@
   constructor(input: PlacementInput) {
     this.#input = input;
     const stopping = input.runningUnits.filter((unit) => unit.stopping);
-    this.#ledger = new RoomLedger(
+    this.#ledger = new CapacityLedger(
       input.workers,
       stopping.flatMap(({ members }) => members),
     );
@@ -82,7 +82,7 @@
     this.#ledger.place(approved);
   }
 
-  #approvalsFor(group: Group): GroupApprovals {
+  #approvalsFor(group: TaskGroup): GroupApprovals {
     const { approvals: cache, now, workers } = this.#input;
     return new GroupApprovals({ group, workers, cache, now });
   }
--- a/packages/cell/src/owner/placement-types.ts
+++ b/packages/cell/src/owner/placement-types.ts
@@ -1,9 +1,9 @@
 /** Input and result of a placement pass. */
 import type { ApprovalCache } from '../advice/approval-cache.js';
 import type { ApprovalRequest } from '../advice/approval-requester.js';
-import type { DurationBook } from '../placing/duration-book.js';
-import type { Victim } from '../placing/reclaim.js';
-import type { Placed, Room } from '../placing/room.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
+import type { Victim } from '../placing/preemption.js';
+import type { TaskPlacement, AvailableWorker } from '../placing/available-worker.js';
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { QueueMeanWork } from './urgency-factors.js';
@@ -31,12 +31,12 @@
 export interface PlacementInput {
   jobs: readonly OwnedJob[];
   guaranteedJobs: ReadonlySet<OwnedJob>;
-  workers: readonly Room[];
+  workers: readonly AvailableWorker[];
   /** Racks of evacuated failure domains: nothing starts there for now. */
   evacuatedRacks: ReadonlySet<string>;
   runningUnits: readonly RunningUnit[];
   queueMeans: QueueMeanWork;
-  durations: DurationBook;
+  durations: DurationEstimator;
   bounds: ReclaimBounds;
   /** Monotonic, in ms. */
   now: number;
@@ -50,7 +50,7 @@
 /** A group to be started, and where. */
 export interface PlannedStart {
   pending: PendingGroup;
-  placements: Placed[];
+  placements: TaskPlacement[];
 }
 
 /** A unit to be stopped, and the job that gets its capacity. */
--- a/packages/cell/src/owner/preemptor.ts
+++ b/packages/cell/src/owner/preemptor.ts
@@ -1,7 +1,7 @@
 /** Chooses running units to preempt for a group that did not fit. */
-import { byUrgency, type Standing } from '../placing/order.js';
-import { planRoom } from '../placing/reclaim.js';
-import type { RoomLedger } from '../placing/room-ledger.js';
+import { compareByUrgency, type UrgencyFactors } from '../placing/job-urgency.js';
+import { planPreemption } from '../placing/preemption.js';
+import type { CapacityLedger } from '../placing/capacity-ledger.js';
 import type { RankedGroup } from './ranked-groups.js';
 import type { OwnedJob } from './owned-job.js';
 import type { RunningUnit, PlacementInput, Preemption } from './placement-types.js';
@@ -33,12 +33,12 @@
 
   readonly #input: PlacementInput;
 
-  readonly #ledger: RoomLedger;
+  readonly #ledger: CapacityLedger;
 
   /** Cached urgency factors of jobs whose runs may be preempted, as many groups need them. */
-  readonly #factorsByJob = new Map<OwnedJob, Standing>();
+  readonly #factorsByJob = new Map<OwnedJob, UrgencyFactors>();
 
-  constructor(input: PlacementInput, ledger: RoomLedger) {
+  constructor(input: PlacementInput, ledger: CapacityLedger) {
     this.#input = input;
     this.#ledger = ledger;
   }
@@ -53,32 +53,35 @@
     if (!factors.claim && !this.#mayPreempt(pending.job, factors)) return unplaced;
     const victims = this.#victimsFor(factors, pending.job);
     const maxLoss = factors.claim ? Infinity : MAX_PREEMPTION_LOSS_ACCELERATOR_MS;
-    const plan = planRoom(unplaced.group, this.#ledger.coming, victims, maxLoss);
+    const plan = planPreemption(unplaced.group, this.#ledger.projected, victims, maxLoss);
     if (plan === undefined) return unplaced;
     const isCostly = factors.claim && plan.loss > CHEAP_LOSS_ACCELERATOR_MS;
     if (isCostly && this.#canWait(pending, factors)) return unplaced;
     const chosen = victims.filter((unit) => plan.victims.includes(unit));
     chosen.forEach((unit) => {
       this.preemptions.push({ unit, forJob: pending.job });
-      this.#ledger.noteStopping(unit.members);
+      this.#ledger.addStopping(unit.members);
     });
     return this.#reserveProjected(unplaced);
   }
 
   /** Reserves capacity that is becoming free; returns the tasks left without, undefined if none are. */
   #reserveProjected(pending: PendingGroup): PendingGroup | undefined {
-    return withoutPlaced(pending, this.#ledger.promise(pending.group));
+    return withoutPlaced(pending, this.#ledger.reserve(pending.group));
   }
 
   #mayPreempt(
     { lastPreemptionAt: madeRoomAt }: OwnedJob,
-    { ageMs, objectiveMs }: Standing,
+    { ageMs, objectiveMs }: UrgencyFactors,
   ): boolean {
     return this.#input.now - madeRoomAt >= PREEMPTION_INTERVAL_MS && ageMs <= objectiveMs;
   }
 
   /** Capacity may become free by itself before the guaranteed job has to start. */
-  #canWait({ readySince }: PendingGroup, { ageMs, leftChainMs, objectiveMs }: Standing): boolean {
+  #canWait(
+    { readySince }: PendingGroup,
+    { ageMs, remainingCriticalPathMs: leftChainMs, objectiveMs }: UrgencyFactors,
+  ): boolean {
     const { reclaimMs, stopMs } = this.#input.bounds;
     const waitedMs = Math.max(ageMs, this.#input.now - readySince);
     if (waitedMs >= reclaimMs - stopMs - RECLAIM_OVERHEAD_MS) return false;
@@ -86,22 +89,22 @@
   }
 
   /** A job outside a guarantee preempts only what ranks below it: anything else would take the capacity back at once. */
-  #victimsFor(factors: Standing, job: OwnedJob): RunningUnit[] {
+  #victimsFor(factors: UrgencyFactors, job: OwnedJob): RunningUnit[] {
     return this.#input.runningUnits.filter((unit) => {
       if (unit.isProtected || this.#isStopping(unit) || unit.job === job) return false;
       if (factors.claim) return true;
       if (unit.job.terms.priority <= factors.priority) return false;
-      return byUrgency(factors, this.#factorsOf(unit.job)) < 0;
+      return compareByUrgency(factors, this.#factorsOf(unit.job)) < 0;
     });
   }
 
-  #factorsOf(job: OwnedJob): Standing {
+  #factorsOf(job: OwnedJob): UrgencyFactors {
     const cached = this.#factorsByJob.get(job) ?? this.#computeFactors(job);
     this.#factorsByJob.set(job, cached);
     return cached;
   }
 
-  #computeFactors(job: OwnedJob): Standing {
+  #computeFactors(job: OwnedJob): UrgencyFactors {
     const { wallMs, queueMeans, durations, guaranteedJobs } = this.#input;
     const occurrence = job.progress.occurrences[0]?.index ?? 0;
     return urgencyFactorsOf(job, {
--- a/packages/cell/src/owner/ranked-groups.ts
+++ b/packages/cell/src/owner/ranked-groups.ts
@@ -1,6 +1,6 @@
 /** Ranks the pending groups of all jobs, the most urgent first. */
-import { byUrgency, type Standing } from '../placing/order.js';
-import type { Room } from '../placing/room.js';
+import { compareByUrgency, type UrgencyFactors } from '../placing/job-urgency.js';
+import type { AvailableWorker } from '../placing/available-worker.js';
 import type { PlacementInput } from './placement-types.js';
 import { expectedDurations, urgencyFactorsOf } from './urgency-factors.js';
 import { pendingGroups, type PendingGroup } from './pending-groups.js';
@@ -8,7 +8,7 @@
 /** A pending group with the inputs that decide its rank. */
 export interface RankedGroup {
   pending: PendingGroup;
-  factors: Standing;
+  factors: UrgencyFactors;
 }
 
 /** Pending groups of all jobs in placement order. */
@@ -34,11 +34,11 @@
         occurrence: pending.group.occurrence,
       }),
     }))
-    .sort((a, b) => byUrgency(a.factors, b.factors));
+    .sort((a, b) => compareByUrgency(a.factors, b.factors));
 }
 
 /** Services with at least half of their accelerators in use. */
-function busyServices(workers: readonly Room[]): Set<string> {
+function busyServices(workers: readonly AvailableWorker[]): Set<string> {
   const services = [...new Set(workers.map(({ service }) => service))];
   const isBusy = (service: string): boolean => {
     const ofService = workers.filter((worker) => worker.service === service);
--- a/packages/cell/src/owner/reservations.ts
+++ b/packages/cell/src/owner/reservations.ts
@@ -1,7 +1,7 @@
 /** Reserves workers for large groups, so that small tasks don't starve them. */
-import { urgencyOf } from '../placing/order.js';
-import type { RoomLedger } from '../placing/room-ledger.js';
-import { fits, isEligible, type Room } from '../placing/room.js';
+import { urgencyOf } from '../placing/job-urgency.js';
+import type { CapacityLedger } from '../placing/capacity-ledger.js';
+import { maxTasks, isEligible, type AvailableWorker } from '../placing/available-worker.js';
 import type { RankedGroup } from './ranked-groups.js';
 import type { PendingGroup } from './pending-groups.js';
 
@@ -10,13 +10,13 @@
 
 /** Reservations of one pass. */
 export class Reservations {
-  readonly #workers: readonly Room[];
+  readonly #workers: readonly AvailableWorker[];
 
-  readonly #ledger: RoomLedger;
+  readonly #ledger: CapacityLedger;
 
   #count = 0;
 
-  constructor(workers: readonly Room[], ledger: RoomLedger) {
+  constructor(workers: readonly AvailableWorker[], ledger: CapacityLedger) {
     this.#workers = workers;
     this.#ledger = ledger;
   }
@@ -27,22 +27,22 @@
     if (this.#count >= MAX_RESERVATIONS) return;
     const { group } = pending;
     const candidates = this.#ledger.free
-      .filter((worker) => isEligible(group, worker) && fits(worker.capacity, group.demand) > 0)
+      .filter((worker) => isEligible(group, worker) && maxTasks(worker.capacity, group.demand) > 0)
       .sort((a, b) => b.free.accelerators - a.free.accelerators);
     let missing = group.indexes.length;
     const reserved = candidates.filter((worker) => {
       if (missing <= 0) return false;
-      missing -= fits(worker.capacity, group.demand);
+      missing -= maxTasks(worker.capacity, group.demand);
       return true;
     });
     if (missing > 0) return;
     this.#count += 1;
-    this.#ledger.close(reserved.map(({ vm }) => vm));
+    this.#ledger.excludeWorkers(reserved.map(({ vm }) => vm));
   }
 }
 
 /** True for a gang, or for tasks that need more than half of a worker: small tasks could starve these. */
-function isLarge({ group }: PendingGroup, workers: readonly Room[]): boolean {
+function isLarge({ group }: PendingGroup, workers: readonly AvailableWorker[]): boolean {
   if (group.gang && group.indexes.length > 1) return true;
   const largest = Math.max(0, ...workers.map(({ capacity }) => capacity.accelerators));
   return group.demand.accelerators > largest / 2;
--- a/packages/cell/src/owner/run-registry.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -5,7 +5,7 @@
 import type { RunCrash, RunEnd } from '../job/progress.js';
 import type { Step } from '../job/submission.js';
 import { taskName } from '../job/task-name.js';
-import type { DurationBook } from '../placing/duration-book.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
 import { FleetHealth } from '../worker/fleet-health.js';
 import type { Assignment, Worker } from '../worker/worker.js';
 import type { Fleet } from './fleet.js';
@@ -40,7 +40,7 @@
 
   readonly #ctx: ProcessContext;
 
-  readonly #durations: DurationBook;
+  readonly #durations: DurationEstimator;
 
   readonly #health: FleetHealth;
 
@@ -60,7 +60,7 @@
     ctx: ProcessContext;
     fleet: Fleet;
     advice: ApprovalCache;
-    durations: DurationBook;
+    durations: DurationEstimator;
     events: RunRegistryEvents;
   }) {
     this.#ctx = ctx;
@@ -108,7 +108,7 @@
   /** Opens occurrences that are due. */
   openDueOccurrences(wallMs: number): void {
     this.jobs.forEach((job) => {
-      if (job.progress.openDue(wallMs)) this.#recordChange(job);
+      if (job.progress.openDueOccurrences(wallMs)) this.#recordChange(job);
     });
   }
 
@@ -167,7 +167,7 @@
 
   /** Counts a runner's crash against one run's task. False if that changes nothing. */
   recordCrash(job: OwnedJob, crash: RunCrash): boolean {
-    if (!job.progress.noteCrash(crash)) return false;
+    if (!job.progress.recordCrash(crash)) return false;
     this.#recordChange(job);
     this.#ctx.metrics.count('run.crashed');
     if (job.progress.outcome !== 'open') {
@@ -215,7 +215,7 @@
     [...this.fleet.all()].forEach(({ assignments }) =>
       assignments.forEach(({ jobId, ref, run, checkpoint }) => {
         const job = this.jobs.get(jobId);
-        if (job?.progress.keepCheckpoint({ ref, run, checkpoint })) this.#recordChange(job);
+        if (job?.progress.recordCheckpoint({ ref, run, checkpoint })) this.#recordChange(job);
       }),
     );
   }
@@ -335,7 +335,7 @@
     if (step === undefined || step.lasting || runningAt === undefined || resumed) return;
     const { estimateMs } = step;
     const actualMs = this.now() - runningAt;
-    this.#durations.noteRun(job.submission.queue, { estimateMs, actualMs });
+    this.#durations.recordRun(job.submission.queue, { estimateMs, actualMs });
     job.noteTaskDuration(step, actualMs);
   }
 
--- a/packages/cell/src/owner/running-units.steps.ts
+++ b/packages/cell/src/owner/running-units.steps.ts
@@ -3,7 +3,7 @@
 import { quietContext } from '@zincspan/core';
 import { ApprovalCache } from '../advice/approval-cache.js';
 import { JobProgress } from '../job/progress.js';
-import { DurationBook } from '../placing/duration-book.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import { Fleet } from './fleet.js';
 import { findRunningUnits } from './running-units.js';
@@ -24,7 +24,7 @@
     ctx,
     fleet: new Fleet({ clock: ctx.clock, evacuations, leaseMs: 6000, previousOwnerGrantMs: 0 }),
     advice: new ApprovalCache(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     events: { onProgressChanged: () => undefined, onOrdersChanged: () => undefined },
   });
 }
--- a/packages/cell/src/owner/running-units.ts
+++ b/packages/cell/src/owner/running-units.ts
@@ -1,5 +1,5 @@
 /** Lists what runs in a cell as units that stop together, with the work that stopping each would lose. */
-import type { HeldRoom } from '../placing/room-ledger.js';
+import type { HeldCapacity } from '../placing/capacity-ledger.js';
 import type { Assignment } from '../worker/worker.js';
 import type { OwnedJob } from './owned-job.js';
 import type { RunningUnit } from './placement-types.js';
@@ -17,7 +17,7 @@
 
 /** A unit while its members are being collected. */
 interface UnitInProgress extends RunningUnit {
-  members: HeldRoom[];
+  members: HeldCapacity[];
   assignments: Assignment[];
 }
 
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -3,10 +3,10 @@
 import { ApprovalCache } from '../advice/approval-cache.js';
 import type { ApprovalRequest } from '../advice/approval-requester.js';
 import type { CellConfig } from '../config/cell-config.js';
-import type { KnownJob } from '../job/job-view.js';
+import type { JobSnapshot } from '../job/job-view.js';
 import type { EvacuationChange, Evacuations } from '../evacuation/evacuations.js';
 import { withdrawPendingStarts } from '../evacuation/start-withdrawal.js';
-import { DurationBook } from '../placing/duration-book.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
 import { Fleet } from './fleet.js';
 import { findRunningUnits } from './running-units.js';
 import { OwnedJob } from './owned-job.js';
@@ -52,7 +52,7 @@
 
   readonly #queueMeans = new QueueMeanWork();
 
-  readonly #durations = new DurationBook();
+  readonly #durations = new DurationEstimator();
 
   readonly #startedAt: number;
 
@@ -77,11 +77,11 @@
   }
 
   /** Adds a job, with the runs that a previous owner has stored. */
-  add(knownJob: KnownJob): void {
+  add(knownJob: JobSnapshot): void {
     const { submission } = knownJob;
     const job = new OwnedJob(knownJob);
     submission.steps.forEach(({ estimateMs }) =>
-      this.#durations.noteEstimate(submission.queue, estimateMs),
+      this.#durations.recordEstimate(submission.queue, estimateMs),
     );
     const expectedMs = expectedDurations(job, this.#durations);
     this.#queueMeans.record(submission.queue, totalWork(submission.steps, expectedMs));
--- a/packages/cell/src/owner/urgency-factors.steps.ts
+++ b/packages/cell/src/owner/urgency-factors.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { DurationBook } from '../placing/duration-book.js';
-import { urgencyOf, type Standing } from '../placing/order.js';
+import { DurationEstimator } from '../placing/duration-estimator.js';
+import { urgencyOf, type UrgencyFactors } from '../placing/job-urgency.js';
 import { testStep, testSubmission, testOwnedJob } from '../testing/test-jobs.support.js';
 import type { OwnedJob } from './owned-job.js';
 import { QueueMeanWork, objectiveMs, urgencyFactorsOf } from './urgency-factors.js';
@@ -10,12 +10,12 @@
   job: OwnedJob;
 }
 
-function factorsAt({ job }: UrgencyFactorsSteps, ageMs: number): Standing {
+function factorsAt({ job }: UrgencyFactorsSteps, ageMs: number): UrgencyFactors {
   return urgencyFactorsOf(job, {
     isGuaranteed: false,
     wallMs: ageMs,
     queueMeans: new QueueMeanWork(),
-    durations: new DurationBook(),
+    durations: new DurationEstimator(),
     occurrence: 0,
   });
 }
@@ -58,7 +58,7 @@
 });
 
 Then('its objective is {int} ms', function (this: UrgencyFactorsSteps, expected: number) {
-  assert.equal(Math.round(objectiveMs(this.job, new DurationBook())), expected);
+  assert.equal(Math.round(objectiveMs(this.job, new DurationEstimator())), expected);
 });
 
 Then(
--- a/packages/cell/src/owner/urgency-factors.ts
+++ b/packages/cell/src/owner/urgency-factors.ts
@@ -1,8 +1,8 @@
 /** Computes what the placement order needs to know about each job: work, durations, objective and guarantee. */
 import type { StepProgress } from '../job/progress.js';
-import { longestChainMs, type Demand, type Step } from '../job/submission.js';
-import type { DurationBook } from '../placing/duration-book.js';
-import type { Standing } from '../placing/order.js';
+import { criticalPathMs, type Demand, type Step } from '../job/submission.js';
+import type { DurationEstimator } from '../placing/duration-estimator.js';
+import type { UrgencyFactors } from '../placing/job-urgency.js';
 import type { OwnedJob } from './owned-job.js';
 
 /** Cores that count as one accelerator in a job's work, weighted as the platform does. */
@@ -35,7 +35,10 @@
  * Expected duration of a task of each step, in ms: as measured for the step's newest finished task; before that, the estimate
  * corrected by the durations of the queue's tasks, as estimates may be off by a factor of three.
  */
-export function expectedDurations(job: OwnedJob, durations: DurationBook): (step: Step) => number {
+export function expectedDurations(
+  job: OwnedJob,
+  durations: DurationEstimator,
+): (step: Step) => number {
   return (step) =>
     job.lastTaskMs(step) ?? durations.expectedMs(job.submission.queue, step.estimateMs);
 }
@@ -63,11 +66,11 @@
  * Objective for the time from a job's acceptance to its completion, in ms, by the present estimates. Failed runs count as part of
  * the work, as in the contract: otherwise a gang that has failed once would count as late and rank after all others.
  */
-export function objectiveMs(job: OwnedJob, durations: DurationBook, occurrence = 0): number {
+export function objectiveMs(job: OwnedJob, durations: DurationEstimator, occurrence = 0): number {
   const { submission, terms, progress } = job;
   const expectedMs = expectedDurations(job, durations);
   const steps = progress.occurrences.find(({ index }) => index === occurrence)?.steps ?? [];
-  const chainMs = longestChainMs(
+  const chainMs = criticalPathMs(
     submission.steps,
     (step, index) => (1 + failedRuns(steps[index])) * expectedMs(step),
   );
@@ -108,10 +111,10 @@
     isGuaranteed: boolean;
     wallMs: number;
     queueMeans: QueueMeanWork;
-    durations: DurationBook;
+    durations: DurationEstimator;
     occurrence: number;
   },
-): Standing {
+): UrgencyFactors {
   const expectedMs = expectedDurations(job, durations);
   const { submission, terms, progress } = job;
   const { schedule, steps } = submission;
@@ -131,11 +134,11 @@
     priority: terms.priority,
     claim: isGuaranteed,
     totalWork: totalWork(steps, expectedMs),
-    leftWork,
+    remainingWork: leftWork,
     meanWork: queueMeans.of(submission.queue),
     ageMs: Math.max(0, wallMs - dueMs),
     objectiveMs: objectiveMs(job, durations, occurrence),
-    leftChainMs: Math.max(0, ...remainingSteps.map(expectedMs)),
+    remainingCriticalPathMs: Math.max(0, ...remainingSteps.map(expectedMs)),
   };
 }
 
--- a/packages/cell/src/testing/memory-runner.support.ts
+++ b/packages/cell/src/testing/memory-runner.support.ts
@@ -1,27 +1,27 @@
-/** An emulated runner as a guard of a test calls it, with answers that are lost and starts that come late. */
+/** In-memory runner port for a guard of a test, with lost answers and delayed starts. */
 import type { RunnerModel } from '@zincspan/stand-ins';
 import type { Listing, RunnerAnswer, RunnerLife, RunnerPort } from '../guard/runner-port.js';
 import { pause } from '../clock/pause.js';
 
 const ANSWER_MS = 1;
 
-/** Calls one machine's runner, whichever life it is in. */
+/** Calls the emulated runner on one machine, whichever incarnation is current. */
 export class MemoryRunner implements RunnerPort {
   life: RunnerModel | undefined;
 
-  /** No call gets through. */
+  /** The runner is unreachable: no call gets through. */
   dark = false;
 
-  /** Starts get no answer and are carried out after this long, in ms. */
+  /** Starts are not answered, and are executed after this delay, in ms. */
   lateStartsMs: number | undefined;
 
-  /** Starts that were sent while no call got through, and have been given up. */
-  startsWithoutAnswer = 0;
+  /** Number of starts that timed out because the runner was unreachable. */
+  unreachableStarts = 0;
 
-  /** Starts that got no answer for that. */
-  lateCalls = 0;
+  /** Number of starts that were delayed by `lateStartsMs`. */
+  lateStarts = 0;
 
-  /** So many starts have their connections reset, each second one only after it was carried out. */
+  /** The next so many starts get a connection reset, every second one only after it was executed. */
   resetStarts = 0;
 
   constructor(life: RunnerModel) {
@@ -36,16 +36,16 @@
     const { lateStartsMs } = this;
     const target = this.#target(life);
     if (target === undefined) {
-      const answer = await this.#noTarget(timeoutMs);
-      if (answer.outcome === 'no-answer') this.startsWithoutAnswer += 1;
+      const answer = await this.#answerWithoutTarget(timeoutMs);
+      if (answer.outcome === 'no-answer') this.unreachableStarts += 1;
       return answer;
     }
     if (lateStartsMs !== undefined) {
-      // By then another life may be there, and takes it if it has the id that the call was meant for.
+      // By then another incarnation may be running, which accepts the start if it has the same id.
       setTimeout(() => this.#target(life)?.start(order), lateStartsMs);
-      this.lateCalls += 1;
+      this.lateStarts += 1;
       await pause(timeoutMs);
-      return { outcome: 'no-answer', detail: 'late' };
+      return { outcome: 'no-answer', detail: 'start delayed' };
     }
     await pause(ANSWER_MS);
     if (this.resetStarts > 0) {
@@ -53,9 +53,9 @@
       if (this.resetStarts % 2 === 0) target.start(order);
       return { outcome: 'no-answer', detail: 'connection reset' };
     }
-    const word = target.start(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.start(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async stop(
@@ -64,11 +64,11 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.stop(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.stop(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async pace(
@@ -77,11 +77,11 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.pace(order);
-    if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
-    return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.pace(order);
+    if (reply === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
+    return { outcome: 'refused', reason: reply, detail: reply };
   }
 
   async look(
@@ -90,12 +90,12 @@
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer<Listing>> {
     const target = this.#target(life);
-    if (target === undefined) return this.#noTarget(timeoutMs);
+    if (target === undefined) return this.#answerWithoutTarget(timeoutMs);
     await pause(ANSWER_MS);
-    const word = target.hold({ term, confirmed, deadlineMs });
-    if (word !== 'ok') return { outcome: 'refused', reason: word, detail: word };
+    const reply = target.hold({ term, confirmed, deadlineMs });
+    if (reply !== 'ok') return { outcome: 'refused', reason: reply, detail: reply };
     if (waitMs > 0) await target.ended(waitMs);
-    if (this.#target(life) === undefined) return this.#noTarget(0);
+    if (this.#target(life) === undefined) return this.#answerWithoutTarget(0);
     return {
       outcome: 'ok',
       clockMs: target.clockMs,
@@ -109,12 +109,12 @@
     return !this.dark && this.life?.id === id ? this.life : undefined;
   }
 
-  async #noTarget(
+  async #answerWithoutTarget(
     timeoutMs: number,
   ): Promise<{ outcome: 'wrong-life' } | { outcome: 'no-answer'; detail: string }> {
     if (!this.dark && this.life !== undefined) return { outcome: 'wrong-life' };
     if (!this.dark) return { outcome: 'no-answer', detail: 'connection refused' };
     await pause(timeoutMs);
-    return { outcome: 'no-answer', detail: 'dark' };
+    return { outcome: 'no-answer', detail: 'runner unreachable' };
   }
 }
--- a/packages/cell/src/testing/cell-world.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -1,4 +1,4 @@
-/** Entries and guards of a small cell in one process: real links over loopback, store and runners in memory. */
+/** Entries and guards of a small cell in one process, with real links over loopback and in-memory store and runners. */
 import { createServer } from 'node:net';
 import { SystemClock, quietContext, type CountingMetrics } from '@zincspan/core';
 import { GangBoard, RowTables, RunnerModel, type AdvisorModel } from '@zincspan/stand-ins';
@@ -9,9 +9,15 @@
 import type { JobProgress } from '../job/progress.js';
 import type { JobRequest, Step } from '../job/submission.js';
 import { OWNER_ROW_KEY, unpackOwnerRow } from '../owner/owner-row.js';
-import { HOST, KEY, PREFIX, TEST_QUEUE, testStep } from './test-jobs.support.js';
+import {
+  TEST_HOST,
+  TEST_API_KEY,
+  TEST_PATH_PREFIX,
+  TEST_QUEUE,
+  testStep,
+} from './test-jobs.support.js';
 import type { RowKey, Transaction } from '../store/row-store.js';
-import { LogKeeper, type LoggedLine } from './log-keeper.support.js';
+import { LogRecorder, type LoggedLine } from './log-recorder.support.js';
 import { TEST_EVACUATION_SOURCE } from './test-evacuations.support.js';
 import { MemoryRowStore } from './memory-row-store.support.js';
 import { MemoryRunner } from './memory-runner.support.js';
@@ -21,93 +27,93 @@
   restartGuard,
   sendHeartbeat,
   startGuard,
-  type WorkerVm,
-} from './worker-vm.support.js';
+  type TestWorker,
+} from './test-worker.support.js';
 import { pause } from '../clock/pause.js';
 
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
 const HEARTBEAT_MS = 300;
 
-/** Of a worker, unless a test says otherwise. */
+/** Default failure domain of a worker. */
 const FAILURE_DOMAIN = 'hall';
 
-/** Of a worker, unless a test says otherwise. */
+/** Default number of accelerators of a worker. */
 const ACCELERATORS = 8;
 
-/** A runner that a task crashed is back as another life after this time, in ms. */
-const AWAY_MS = 300;
+/** Time until a runner that was crashed by a task is back as a new incarnation. */
+const RUNNER_RESTART_MS = 300;
 
-/** An answer of the emulated advisor takes this long. */
+/** Latency of the emulated advisor. */
 const ADVICE_MS = 20;
 
-interface EntryVm {
+interface TestEntry {
   id: string;
   app: EntryApp;
   store: MemoryRowStore;
   metrics: CountingMetrics;
 }
 
-/** The host's clocks, with a time of day that can be made to jump. */
+/** The host's clocks, with a time of day that a test can shift. */
 class SteppedClock extends SystemClock {
-  aheadMs = 0;
+  wallOffsetMs = 0;
 
   override wall(): number {
-    return super.wall() + this.aheadMs;
+    return super.wall() + this.wallOffsetMs;
   }
 }
 
-/** A cell that runs until `stop`. */
-export class CellWorld {
+/** A cell that runs until `stop` is called. */
+export class TestCell {
   readonly tables = new RowTables();
 
-  readonly board = new GangBoard();
+  readonly gangBoard = new GangBoard();
 
-  readonly entries: EntryVm[] = [];
+  readonly entries: TestEntry[] = [];
 
-  readonly workers: WorkerVm[] = [];
+  readonly workers: TestWorker[] = [];
 
   keepEndedMs = 600_000;
 
-  readonly #log = new LogKeeper();
+  readonly #log = new LogRecorder();
 
-  /** Of all entries. */
+  /** Clock of all entries. */
   readonly clock = new SteppedClock();
 
-  /** Where a task crashes a runner, the guard beside it is started anew before the runner is back. */
-  crashesTakeGuards = false;
+  /** When a task crashes a runner, the guard beside it restarts too, before the runner is back. */
+  crashesRestartGuards = false;
 
-  /** A runner that starts again keeps its id, as it may on the platform; otherwise each life has an id of its own. */
-  keepsIds = false;
+  /** A restarted runner keeps its id, as may happen on the platform; otherwise each incarnation has its own id. */
+  reusesRunnerIds = false;
 
-  /** How far the time of day of runners that start is behind, in ms. */
-  runnersBehindMs = 0;
+  /** How far the time of day of newly started runners lags behind, in ms. */
+  runnerClockLagMs = 0;
 
-  /** Runs that worked at the same time as another run of their task. */
-  readonly overlaps: string[] = [];
+  /** Runs that were active at the same time as another run of their task. */
+  readonly overlappingRuns: string[] = [];
 
-  readonly #atWork = new Map<string, number>();
+  readonly #activeRunCounts = new Map<string, number>();
 
   #lastBornMs = 0;
 
-  /** Asked about queues that need advice; without one these refuse. */
+  /** Placement advisor for queues that need advice; without one these refuse jobs. */
   advisor: AdvisorModel | undefined;
 
-  #ids = 0;
+  #jobCount = 0;
 
-  #entries = 0;
+  #entryCount = 0;
 
-  #version = 0;
+  #configVersion = 0;
 
   #stopped = false;
 
-  /** The operator's next configuration. */
+  /** Publishes the operator's next configuration. */
   configure(change: Partial<CellConfig> = {}): void {
-    this.#version += 1;
+    this.#configVersion += 1;
     const config: CellConfig = {
-      version: this.#version,
+      version: this.#configVersion,
       queues: [TEST_QUEUE],
       services: [{ name: 'render', guardsCapacity: true, standby: false }],
-      accounts: [{ name: 'weddings', keys: [KEY], guaranteedAccelerators: 0 }],
+      accounts: [{ name: 'weddings', keys: [TEST_API_KEY], guaranteedAccelerators: 0 }],
       limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
       ...change,
     };
@@ -115,21 +121,21 @@
     this.tables.transact({ expected: [], set: [{ ...CONFIG_KEY, value }], remove: [] });
   }
 
-  /** The operator asks for nothing more to start in a failure domain. */
+  /** The operator evacuates a failure domain: nothing more may start there. */
   evacuate(failureDomain: string): void {
     const row = { ...evacuationKey(failureDomain), value: Buffer.from('{}') };
     this.tables.transact({ expected: [], set: [row], remove: [] });
   }
 
-  /** The operator takes a failure domain back. */
-  takeBack(failureDomain: string): void {
+  /** The operator ends the evacuation of a failure domain. */
+  endEvacuation(failureDomain: string): void {
     this.tables.transact({ expected: [], set: [], remove: [evacuationKey(failureDomain)] });
   }
 
-  async addEntry({ processorShare = 1 } = {}): Promise<EntryVm> {
-    const id = `entry-${this.#nextEntry()}`;
+  async addEntry({ processorShare = 1 } = {}): Promise<TestEntry> {
+    const id = `entry-${this.#nextEntryNumber()}`;
     const store = new MemoryRowStore(this.tables);
-    const ctx = quietContext({ id, role: 'entry', clock: this.clock, log: this.#log.logOf(id) });
+    const ctx = quietContext({ id, role: 'entry', clock: this.clock, log: this.#log.logFor(id) });
     const app = new EntryApp({
       ctx,
       store,
@@ -137,7 +143,7 @@
         key: CONFIG_KEY,
         decode: (value) => JSON.parse(value.toString()) as CellConfig,
       },
-      advisor: this.advisor && memoryAdvisor(this.advisor),
+      advisor: this.advisor && inMemoryAdvisor(this.advisor),
       linkAddress: `127.0.0.1:${await freePort()}`,
       linkKey: LINK_KEY,
       processorShare,
@@ -157,31 +163,31 @@
     return entry;
   }
 
-  /** Starts it with this many entries and workers, and waits until it has an owner. */
+  /** Starts the cell with this many entries and workers, and waits until it has an owner. */
   async start(entries: number, workers: number): Promise<void> {
     this.configure();
     for (let each = 0; each < entries; each++) await this.addEntry();
     for (let each = 0; each < workers; each++) this.addWorker();
     const isReady = (): boolean => this.entries.every(({ app }) => app.isReady);
     if (await eventually(() => isReady() && this.owner() !== undefined)) return;
-    throw new Error('the cell of a test is not ready');
+    throw new Error('test cell was not ready in time');
   }
 
-  addWorker({ rack = 'r1', failureDomain = FAILURE_DOMAIN } = {}): WorkerVm {
+  addWorker({ rack = 'r1', failureDomain = FAILURE_DOMAIN } = {}): TestWorker {
     const id = `worker-${this.workers.length + 1}`;
     const store = new MemoryRowStore(this.tables);
     const life = this.#newLife(id, `${id}-runner`);
     const runner = new MemoryRunner(life);
     const guard = startGuard({ id, store, runner });
-    const worker: WorkerVm = {
+    const worker: TestWorker = {
       id,
       guard,
       runner,
       store,
       lives: [life],
-      beat: setInterval(() => sendHeartbeat(worker, rack), HEARTBEAT_MS),
+      heartbeatTimer: setInterval(() => sendHeartbeat(worker, rack), HEARTBEAT_MS),
       remainingMs: undefined,
-      mute: false,
+      isHeartbeatMuted: false,
       beats: 0,
       accelerators: ACCELERATORS,
       failureDomain,
@@ -191,18 +197,18 @@
     return worker;
   }
 
-  /** The runner on this worker crashes and comes back as another life. */
-  replaceRunner(worker: WorkerVm): void {
+  /** Crashes the runner on this worker and immediately starts a new incarnation. */
+  replaceRunner(worker: TestWorker): void {
     worker.runner.life?.crash();
     const earlier = worker.lives.at(-1)?.id ?? '';
-    const life = this.#newLife(worker.id, this.keepsIds ? earlier : `${earlier}'`);
+    const life = this.#newLife(worker.id, this.reusesRunnerIds ? earlier : `${earlier}'`);
     Object.assign(worker.runner, { life });
     Object.assign(worker, { beats: 0, remainingMs: undefined });
     worker.lives.push(life);
   }
 
-  /** The runner on this worker crashes, and comes back as another life after `awayMs`. */
-  crashRunner(worker: WorkerVm, awayMs: number): void {
+  /** Crashes the runner on this worker and starts a new incarnation after `awayMs`. */
+  crashRunner(worker: TestWorker, awayMs: number): void {
     worker.runner.life?.crash();
     if (this.#stopped) return;
     Object.assign(worker.runner, { life: undefined });
@@ -211,34 +217,34 @@
     }, awayMs);
   }
 
-  #crashByTask(id: string): void {
+  #onCrashByTask(id: string): void {
     const worker = this.workers.find((each) => each.id === id);
     if (worker === undefined) return;
-    this.crashRunner(worker, AWAY_MS);
-    if (!this.crashesTakeGuards || this.#stopped) return;
+    this.crashRunner(worker, RUNNER_RESTART_MS);
+    if (!this.crashesRestartGuards || this.#stopped) return;
     restartGuard(worker);
   }
 
   newJobId(): string {
-    this.#ids += 1;
-    return this.#ids.toString(16).padStart(16, '0');
+    this.#jobCount += 1;
+    return this.#jobCount.toString(16).padStart(16, '0');
   }
 
-  /** What any entry says of a job. */
-  async state(id: string): Promise<string> {
+  /** State of a job as reported by a ready entry. */
+  async jobState(id: string): Promise<string> {
     const entry = this.entries.find(({ app }) => app.isReady) ?? this.entries[0];
-    const result = await entry?.app.calls.state(callOf(id));
+    const result = await entry?.app.calls.state(jobCall(id));
     return result?.outcome === 'state' ? result.state : (result?.outcome ?? 'no entry');
   }
 
-  /** The id of the entry that owns the cell, by its row. */
-  owner(): EntryVm | undefined {
+  /** The entry that owns the cell according to the owner's row. */
+  owner(): TestEntry | undefined {
     const row = this.tables.get(OWNER_ROW_KEY);
     const holder = row && unpackOwnerRow(row.value).holder?.id;
     return this.entries.find(({ id }) => id === holder);
   }
 
-  /** Starts of a job's tasks, over all runners and lives. */
+  /** Starts of a job's tasks on all runners and incarnations, oldest first. */
   starts(jobId: string): { task: string; run: number; at: number; checkpoint: string }[] {
     return this.workers
       .flatMap(({ lives }) => lives.flatMap(({ starts }) => starts))
@@ -246,35 +252,35 @@
       .sort((a, b) => a.at - b.at);
   }
 
-  /** A job's progress as its row says; undefined while there is none. */
-  writtenProgress(jobId: string): JobProgress | undefined {
+  /** Progress of a job according to its row; undefined while there is none. */
+  storedProgress(jobId: string): JobProgress | undefined {
     const progressRow = this.tables.get(jobRowKey(jobId, 'progress'));
     const submissionRow = this.tables.get(jobRowKey(jobId, 'submission'));
     if (progressRow === undefined || submissionRow === undefined) return undefined;
     return unpackProgress(unpackSubmission(submissionRow.value), progressRow.value);
   }
 
-  /** Highest run of any task of the job that its row knows. */
-  writtenRuns(jobId: string): number {
-    const occurrences = this.writtenProgress(jobId)?.occurrences ?? [];
+  /** Highest run number of any task of the job according to its row. */
+  highestStoredRun(jobId: string): number {
+    const occurrences = this.storedProgress(jobId)?.occurrences ?? [];
     const tasks = occurrences.flatMap(({ steps }) => steps.flatMap((step) => step.tasks));
     return Math.max(0, ...tasks.map(({ run }) => run));
   }
 
-  /** Lines of all entries with this message, the oldest first. */
+  /** Log lines of all entries with this message, oldest first. */
   logged(msg: string): LoggedLine[] {
-    return this.#log.of(msg);
+    return this.#log.withMessage(msg);
   }
 
-  #nextEntry(): number {
-    this.#entries += 1;
-    return this.#entries;
+  #nextEntryNumber(): number {
+    this.#entryCount += 1;
+    return this.#entryCount;
   }
 
   async stop(): Promise<void> {
     this.#stopped = true;
-    this.workers.forEach(({ guard, beat, runner }) => {
-      clearInterval(beat);
+    this.workers.forEach(({ guard, heartbeatTimer, runner }) => {
+      clearInterval(heartbeatTimer);
       guard.stop();
       runner.life?.crash();
     });
@@ -285,22 +291,22 @@
     this.#lastBornMs = Math.max(this.#lastBornMs + 1, Date.now());
     return new RunnerModel({
       id,
-      bornMs: this.#lastBornMs - this.runnersBehindMs,
+      bornMs: this.#lastBornMs - this.runnerClockLagMs,
       slots: 8,
-      board: this.board,
+      board: this.gangBoard,
       takesTicket: (step, ticket) => this.advisor?.isValid(step, id, ticket) ?? true,
-      onCrash: () => this.#crashByTask(vm),
+      onCrash: () => this.#onCrashByTask(vm),
       observer: {
-        onStart: ({ task, run }) => this.#noteAtWork(task, run, 1),
-        onEnd: ({ task, run }) => this.#noteAtWork(task, run, -1),
+        onStart: ({ task, run }) => this.#changeActiveRuns(task, run, 1),
+        onEnd: ({ task, run }) => this.#changeActiveRuns(task, run, -1),
       },
     });
   }
 
-  #noteAtWork(task: string, run: number, change: number): void {
-    const count = (this.#atWork.get(task) ?? 0) + change;
-    this.#atWork.set(task, count);
-    if (count > 1) this.overlaps.push(`${task}#${run}`);
+  #changeActiveRuns(task: string, run: number, change: number): void {
+    const count = (this.#activeRunCounts.get(task) ?? 0) + change;
+    this.#activeRunCounts.set(task, count);
+    if (count > 1) this.overlappingRuns.push(`${task}#${run}`);
   }
 }
 
@@ -309,8 +315,8 @@
   return { table, part, key: `${keyPrefix}${failureDomain}` };
 }
 
-/** The emulated advisor as an owner calls it. */
-function memoryAdvisor(model: AdvisorModel): Advisor {
+/** Adapts the emulated advisor to the interface that an owner calls. */
+function inMemoryAdvisor(model: AdvisorModel): Advisor {
   return {
     advise: async (step, runners) => {
       await pause(ADVICE_MS);
@@ -320,29 +326,32 @@
   };
 }
 
-/** The entry is gone, and nothing that it sends reaches the store any more. */
-export function loseEntry({ app, store }: EntryVm): void {
+/** Stops the entry, and nothing that it sends reaches the store any more. */
+export function crashEntry({ app, store }: TestEntry): void {
   Object.assign(store, { fault: 'silent' });
   void app.stop();
 }
 
-/** The same the moment it writes a run down. */
-export function loseEntryAtWrite(entry: EntryVm): void {
+/** Crashes the entry as soon as it has stored a job's progress, before the write is answered. */
+export function crashEntryAtProgressWrite(entry: TestEntry): void {
   Object.assign(entry.store, {
     onDone: ({ set }: Transaction) => {
-      if (set.some(({ key }) => key.endsWith('/p'))) loseEntry(entry);
+      if (set.some(({ key }) => key.endsWith('/p'))) crashEntry(entry);
     },
   });
 }
 
-/** A call about a job of the tests' queue. */
-export function callOf(rest: string, key = KEY): { host: string; path: string; key: string } {
-  return { host: HOST, path: `${PREFIX}${rest}`, key };
+/** A call concerning a job of the default queue. */
+export function jobCall(
+  rest: string,
+  key = TEST_API_KEY,
+): { host: string; path: string; key: string } {
+  return { host: TEST_HOST, path: `${TEST_PATH_PREFIX}${rest}`, key };
 }
 
-/** Hands a job in at an entry; answers the outcome. */
-export async function submit(
-  entry: EntryVm,
+/** Submits a job to an entry; returns the outcome. */
+export async function submitJob(
+  entry: TestEntry,
   id: string,
   {
     steps = [testStep()],
@@ -351,11 +360,11 @@
   }: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule'] } = {},
 ): Promise<string> {
   const job: JobRequest = { spec: JSON.stringify(spec), steps, schedule };
-  const { outcome } = await entry.app.calls.submit(callOf(id), { decode: () => ({ job }) });
+  const { outcome } = await entry.app.calls.submit(jobCall(id), { decode: () => ({ job }) });
   return outcome;
 }
 
-/** Awaits a condition, for at most this long, in ms; true if it came. */
+/** Polls a condition for at most `limitMs`; true if it became true. */
 export async function eventually(
   condition: () => boolean | Promise<boolean>,
   limitMs = 10_000,
