--- a/packages/bench/src/cell/simulated-cell.ts
+++ b/packages/bench/src/cell/simulated-cell.ts
@@ -222,7 +222,7 @@
     const contact = worker.contact(this.#now);
     takeUpContact(book, known, contact);
     const orders = ordersFor(book, known, contact);
-    known.grant(this.#now, LEASE_MS);
+    known.grantLease(this.#now, LEASE_MS);
     worker.confirm(orders.confirmedEnd);
     orders.stops.forEach((run) => worker.stop(run, this.#now));
     orders.starts.forEach((order) => {
--- a/packages/cell/src/advice/advice-desk.ts
+++ b/packages/cell/src/advice/advice-desk.ts
@@ -2,7 +2,7 @@
 import type { ProcessContext } from '@zincspan/core';
 import type { AdviceBook } from './advice-book.js';
 import type { Advisor } from './advisor.js';
-import { runnerIdOf } from '../runner/life-name.js';
+import { runnerIdOf } from '../runner/incarnation-id.js';
 
 /** An answer may take this long, in ms: a decision, a part for each runner, and what the advisor has before it. */
 const ADVICE_TIMEOUT_MS = 5000;
--- a/packages/cell/src/advice/advice.steps.ts
+++ b/packages/cell/src/advice/advice.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
 import { AdvisorModel } from '@zincspan/stand-ins';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import type { Step } from '../job/submission.js';
 import { CellWorld, eventually, submit, loseEntryAtWrite } from '../testing/cell-world.support.js';
 import { TEST_QUEUE, testStep } from '../testing/test-jobs.support.js';
@@ -46,7 +46,7 @@
     this.cell.advisor = this.advisor;
     await this.cell.start(2, 3);
     this.cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
-    await pause(600);
+    await sleep(600);
   },
 );
 
@@ -82,7 +82,7 @@
 );
 
 When('a second has passed', async () => {
-  await pause(1000);
+  await sleep(1000);
 });
 
 Then('it has completed within {int} s', async function (this: AdviceSteps, seconds: number) {
--- a/packages/cell/src/config/config-watch.ts
+++ b/packages/cell/src/config/config-watch.ts
@@ -1,6 +1,6 @@
 /** Keeps the newest configuration and knows how fresh that knowledge is. */
 import type { ProcessContext } from '@zincspan/core';
-import { elapsedMs, momentOf, type Moment } from '../clock/moment.js';
+import { elapsedMs, readClocks, type ClockReading } from '../clock/elapsed-time.js';
 import { readRow } from '../store/read-row.js';
 import type { Row, RowKey, RowStore } from '../store/row-store.js';
 import type { CellConfig } from './cell-config.js';
@@ -46,7 +46,7 @@
   #unreadable = 0;
 
   /** When the last read that confirmed the configuration was sent. */
-  #confirmed: Moment | undefined;
+  #confirmed: ClockReading | undefined;
 
   #reading: Promise<void> | undefined;
 
@@ -94,7 +94,7 @@
   /** Time since the configuration was last confirmed, in ms, suspensions of the VM included. */
   get ageMs(): number {
     if (this.#confirmed === undefined) return Infinity;
-    return elapsedMs(this.#confirmed, momentOf(this.#ctx.clock));
+    return elapsedMs(this.#confirmed, readClocks(this.#ctx.clock));
   }
 
   start(): void {
@@ -140,7 +140,7 @@
   }
 
   async #read(): Promise<void> {
-    const sentAt = momentOf(this.#ctx.clock);
+    const sentAt = readClocks(this.#ctx.clock);
     const result = await readRow(this.#store, this.#source.key, { timeoutMs: READ_TIMEOUT_MS });
     if (result.outcome === 'failed') this.#ctx.metrics.count('config.read-failed');
     if (result.outcome !== 'found') return;
--- a/packages/cell/src/entry/acceptance.ts
+++ b/packages/cell/src/entry/acceptance.ts
@@ -8,7 +8,7 @@
 import type { AcceptanceRoute, SubmissionWrite } from './acceptance-route.js';
 import type { CallRefusal, CancelResult, SubmitResult } from './call-result.js';
 import type { Admitted, CallerCall, CallerGate } from './caller-gate.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { storeRetryMs } from './store-retry.js';
 
 /** One try at the store within a caller's time, in ms. */
@@ -119,7 +119,7 @@
       const mayWait = this.#store.isSlow && !this.#store.isAway;
       if (!maybeDone && refusals >= REFUSALS_TO_GIVE_UP && !mayWait) return this.#storeAway(detail);
       if (maybeDone && this.#isStoreAway()) break;
-      await pause(this.#retryPauseMs());
+      await sleep(this.#retryPauseMs());
     }
     return maybeDone ? this.#unanswered(detail) : this.#storeAway(detail);
   }
@@ -138,7 +138,7 @@
       const isThere = result.outcome === 'done' || result.outcome === 'conflict';
       if (isThere) return { outcome: 'cancelled' };
       if (this.#isStoreAway()) return this.#unanswered(result.detail);
-      await pause(this.#retryPauseMs());
+      await sleep(this.#retryPauseMs());
     }
   }
 
--- a/packages/cell/src/entry/caller-gate.ts
+++ b/packages/cell/src/entry/caller-gate.ts
@@ -6,7 +6,7 @@
   type CellConfig,
   type Queue,
 } from '../config/cell-config.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import type { ConfigWatch } from '../config/config-watch.js';
 import type { CallRefusal } from './call-result.js';
 import { storeRetryMs } from './store-retry.js';
@@ -64,7 +64,7 @@
     if (!this.#isDoubtful(first)) return first;
     const isRead = await Promise.race([
       this.#config.refresh().then(() => true),
-      pause(DOUBT_WAIT_MS).then(() => false),
+      sleep(DOUBT_WAIT_MS).then(() => false),
     ]);
     if (isRead && !this.#config.isBehind) return this.#check(call);
     const detail = 'A newer configuration may be in force: it is being read.';
--- a/packages/cell/src/entry/config-order.steps.ts
+++ b/packages/cell/src/entry/config-order.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { cellOf, otherEntry, type CellSteps, type Entry } from '../owner/cell-steps.support.js';
 import { HOST, KEY, TEST_QUEUE } from '../testing/test-jobs.support.js';
 
@@ -35,7 +35,7 @@
     return read(range, options);
   };
   // A read that was on its way has been answered by then.
-  await pause(BETWEEN_MS);
+  await sleep(BETWEEN_MS);
 });
 
 When('the operator puts another queue in place of the first', function (this: OrderSteps) {
@@ -46,9 +46,9 @@
   'a call for the new queue is made there, and 0.3 s later one for the old queue, and the reads go on',
   async function (this: OrderSteps) {
     const first = isServed(this, NEW_PREFIX);
-    await pause(BETWEEN_MS);
+    await sleep(BETWEEN_MS);
     const second = isServed(this, TEST_QUEUE.pathPrefix);
-    await pause(BETWEEN_MS);
+    await sleep(BETWEEN_MS);
     this.goOn();
     this.served = await Promise.all([first, second]);
   },
--- a/packages/cell/src/entry/entry-load.steps.ts
+++ b/packages/cell/src/entry/entry-load.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { OWNER_KEY } from '../owner/owner-row.js';
 import {
   cellOf,
@@ -152,14 +152,14 @@
   { timeout: 15_000 },
   async function (this: CellSteps) {
     assert.ok(await areLinked(this));
-    await pause(1500);
+    await sleep(1500);
     const others = entriesButOwner(this);
     const counts = (): number[] =>
       others.map(
         ({ store }) => store.calls.filter(({ table }) => table === OWNER_KEY.table).length,
       );
     const before = counts();
-    await pause(2000);
+    await sleep(2000);
     const often = counts().filter((count, index) => count - (before[index] ?? 0) > 4);
     assert.ok(often.length <= 3, `${often.length} entries look out`);
   },
--- a/packages/cell/src/entry/settled-call.steps.ts
+++ b/packages/cell/src/entry/settled-call.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Before, Given, Then } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { settleCall } from './settled-call.js';
 import { storeRetryMs } from './store-retry.js';
 
@@ -19,7 +19,7 @@
 
 function answerLater(outcome: string, ms: number): () => Promise<Answer> {
   return async () => {
-    await pause(ms);
+    await sleep(ms);
     return { outcome };
   };
 }
--- a/packages/cell/src/entry/settled-call.ts
+++ b/packages/cell/src/entry/settled-call.ts
@@ -3,7 +3,7 @@
  * turns away, or whose connections to it have gone silent, while others reach it. Each call is idempotent by its job's
  * id, so that two entries may work on it at once.
  */
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /** Others are asked once the own try has taken this long, in ms: an urgent job of 2.5 s has 1.5 s to spare for everything. */
 const ASK_OTHERS_AFTER_MS = 300;
@@ -30,7 +30,7 @@
   /** One answer each of the entries that could be reached; none of them rejects. */
   askOthers: () => Promise<T>[];
 }): Promise<T> {
-  const early = await (isStoreSlow ? own : Promise.race([own, pause(ASK_OTHERS_AFTER_MS)]));
+  const early = await (isStoreSlow ? own : Promise.race([own, sleep(ASK_OTHERS_AFTER_MS)]));
   if (early !== undefined && !isOutOfReach(early)) return early;
   const all = [own, ...askOthers()];
   return (await firstSettling(all)) ?? combine(await Promise.all(all));
--- a/packages/cell/src/entry/slow-store.steps.ts
+++ b/packages/cell/src/entry/slow-store.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { jobRowKey } from '../job/job-rows.js';
 import {
   cellOf,
@@ -40,7 +40,7 @@
       };
       Object.assign(store, { answerMs, turnMs, transact: watched });
     });
-    await pause(NOTICED_MS);
+    await sleep(NOTICED_MS);
   },
 );
 
@@ -49,7 +49,7 @@
   async function (this: SlowSteps, count: number, apartMs: number) {
     const { entries } = cellOf(this);
     const accepted = Array.from({ length: count }, async (_, index) => {
-      await pause(index * apartMs);
+      await sleep(index * apartMs);
       const entry = entries[index % entries.length];
       assert.ok(entry);
       const id = cellOf(this).newJobId();
@@ -88,7 +88,7 @@
 
 When('nothing is handed in for {int} s', async function (this: SlowSteps, seconds: number) {
   this.transactions = [];
-  await pause(seconds * 1000);
+  await sleep(seconds * 1000);
 });
 
 When('a job is handed in', async function (this: SlowSteps) {
@@ -99,7 +99,7 @@
   const cell = cellOf(this);
   const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
   stores.forEach((store) => Object.assign(store, { answerMs: 2, turnMs: 0 }));
-  await pause(s * 1000);
+  await sleep(s * 1000);
 });
 
 Then('each was accepted within {int} ms', function (this: SlowSteps, withinMs: number) {
--- a/packages/cell/src/evacuation/evacuated-cell.steps.ts
+++ b/packages/cell/src/evacuation/evacuated-cell.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { CellWorld, eventually } from '../testing/cell-world.support.js';
 import { TEST_EVACUATION_SOURCE } from '../testing/test-evacuations.support.js';
@@ -38,9 +38,9 @@
 
 /** Evacuates hall east after the starts there are written down, and waits. */
 async function evacuateOnceWritten(world: EvacuationSteps, laterMs: number): Promise<void> {
-  await pause(300);
+  await sleep(300);
   evacuate(world, 'east');
-  await pause(laterMs);
+  await sleep(laterMs);
 }
 
 Given(
@@ -55,7 +55,7 @@
         cell.addWorker({ rack: `rack-${failureDomain}`, failureDomain });
       }
     });
-    await pause(600);
+    await sleep(600);
   },
 );
 
@@ -86,7 +86,7 @@
 When(
   'a job of {int} tasks is handed in {int} ms later',
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
-    await pause(laterMs);
+    await sleep(laterMs);
     await handIn(this, { steps: [testStep({ tasks })], spec: { workMs: 100 } });
   },
 );
@@ -105,7 +105,7 @@
 When(
   'a job of {int} tasks that take 1 s is handed in {int} ms later',
   async function (this: EvacuationSteps, tasks: number, laterMs: number) {
-    await pause(laterMs);
+    await sleep(laterMs);
     const steps = [testStep({ tasks, maxPerWorker: 4 })];
     await handIn(this, { steps, spec: { workMs: 1000 } });
   },
@@ -186,7 +186,7 @@
 Then(
   'nothing of it has begun {int} ms later',
   async function (this: EvacuationSteps, laterMs: number) {
-    await pause(laterMs);
+    await sleep(laterMs);
     assert.deepEqual(cellOf(this).starts(jobOf(this)), []);
   },
 );
--- a/packages/cell/src/evacuation/evacuation-watch.ts
+++ b/packages/cell/src/evacuation/evacuation-watch.ts
@@ -1,6 +1,6 @@
 /** Reads the operator's evacuations again and again while an entry owns the cell. */
 import type { ProcessContext } from '@zincspan/core';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import type { RowStore } from '../store/row-store.js';
 import type { EvacuationChange, Evacuations } from './evacuations.js';
 
@@ -44,7 +44,7 @@
         this.#options.ctx.metrics.count('evacuation.read-failed');
         this.#options.ctx.log.error({ err }, 'reading evacuations failed');
       }
-      await pause(READ_EVERY_MS);
+      await sleep(READ_EVERY_MS);
     }
   }
 
--- a/packages/cell/src/guard/guard-app.ts
+++ b/packages/cell/src/guard/guard-app.ts
@@ -1,4 +1,4 @@
-/** The guard: its runner on one side, the cell's owner on the other. */
+/** The guard of a VM: reports its runner's state to the cell's owner and carries out the owner's orders. */
 import {
   ProblemError,
   type CellContact,
@@ -8,160 +8,161 @@
 } from '@zincspan/core';
 import type { RowStore } from '../store/row-store.js';
 import { OwnerLink } from './owner-link.js';
-import { RunnerKeeper } from './runner-keeper.js';
-import type { RunnerPort, RunnerReport } from './runner-port.js';
+import { RunnerSupervisor } from './runner-supervisor.js';
+import type { RunnerApi, RunnerHeartbeat } from './runner-api.js';
 
 /**
- * Pause between contacts when there is nothing new, in ms: progress is seen by them, and standing still is noticed after two.
- * Each wakes the guard and the owner, and 160 guards at twice a second were 320 messages each way.
+ * Interval between contacts (reports to the owner, answered with orders) when nothing has changed, in ms. They carry progress,
+ * and a stalled run is detected after two of them. Each contact wakes the guard and the owner: 160 guards at twice a second were
+ * 320 messages each way.
  */
-const CONTACT_EVERY_MS = 1000;
+const CONTACT_INTERVAL_MS = 1000;
 
-/** And while runs are paced here, as what they disturb changes within seconds, or until the owner gives authority. */
-const PACED_CONTACT_MS = 500;
+/** Interval while runs are paced here, as interference between runs changes within seconds, or until the owner grants a lease. */
+const SHORT_CONTACT_INTERVAL_MS = 500;
 
-/** Contacts within a lease: two may be lost. */
+/** Contacts per lease, so that two of them may be lost. */
 const CONTACTS_PER_LEASE = 4;
 
-/** A contact may take this long, in ms. */
+/** Timeout of a contact, in ms. */
 export const CONTACT_TIMEOUT_MS = 1200;
 
-/** An answer that takes longer says that the owner may be gone, in ms: many times what a contact takes under load. */
-const CONTACT_LATE_MS = 500;
+/** An owner that takes longer to answer may have failed, in ms: many times what a contact takes under load. */
+const SLOW_CONTACT_MS = 500;
 
-/** So does an owner that the store hasn't confirmed for this long, in ms: three of its heartbeats. */
-const DOUBT_AFTER_MS = 600;
+/** An owner that the store hasn't confirmed for this long may have been replaced, in ms: three of its heartbeats. */
+const MAX_UNCONFIRMED_MS = 600;
 
-/** What a guard is made of. */
+/** Dependencies and settings of a guard. */
 export interface GuardAppOptions {
   ctx: ProcessContext;
   store: RowStore;
-  runner: RunnerPort;
+  runner: RunnerApi;
   linkKey: string;
-  /** Longest lease that the runner keeps, in ms. */
-  holdMs: number;
+  /** Longest lease that the runner honours, in ms. */
+  maxLeaseMs: number;
 }
 
-/** One guard. */
+/** Connects one runner to the owner of its cell. */
 export class GuardApp {
   readonly #ctx: ProcessContext;
 
-  readonly #keeper: RunnerKeeper;
+  readonly #supervisor: RunnerSupervisor;
 
   readonly #owner: OwnerLink;
 
   #timer: NodeJS.Timeout | undefined;
 
-  #pauseMs = PACED_CONTACT_MS;
+  #contactIntervalMs = SHORT_CONTACT_INTERVAL_MS;
 
   #inContact = false;
 
-  #again = false;
+  #contactAgain = false;
 
   #stopped = false;
 
-  constructor({ ctx, store, runner, linkKey, holdMs }: GuardAppOptions) {
+  constructor({ ctx, store, runner, linkKey, maxLeaseMs }: GuardAppOptions) {
     this.#ctx = ctx;
-    this.#keeper = new RunnerKeeper({
+    this.#supervisor = new RunnerSupervisor({
       ctx,
-      port: runner,
-      holdMs,
-      onNews: () => this.#contactNow(),
+      runner,
+      maxLeaseMs,
+      onChange: () => this.#requestContact(),
     });
     this.#owner = new OwnerLink({
       ctx,
       store,
       linkKey,
       handlers: this.#handlers(),
-      onLink: () => this.#contactNow(),
+      onLinkUp: () => this.#requestContact(),
     });
   }
 
   start(): void {
     this.#owner.start();
-    this.#schedule();
+    this.#scheduleContact();
   }
 
   stop(): void {
     this.#stopped = true;
     clearTimeout(this.#timer);
-    this.#keeper.stop();
+    this.#supervisor.stop();
     this.#owner.stop();
   }
 
-  /** A heartbeat of the runner beside this guard. */
-  noteReport(report: RunnerReport): void {
-    this.#keeper.noteReport(report);
+  /** Handles a heartbeat of the runner on this VM. */
+  noteHeartbeat(heartbeat: RunnerHeartbeat): void {
+    this.#supervisor.noteHeartbeat(heartbeat);
   }
 
-  noteLeave(runner: string): void {
-    this.#keeper.noteLeave(runner);
+  noteDeregistered(runner: string): void {
+    this.#supervisor.noteDeregistered(runner);
   }
 
   #handlers(): Handlers {
     return {
       'cell.poke': () => {
-        this.#contactNow();
+        this.#requestContact();
         return {};
       },
     };
   }
 
-  #contactNow(): void {
+  #requestContact(): void {
     if (this.#stopped) return;
     if (this.#inContact) {
-      this.#again = true;
+      this.#contactAgain = true;
       return;
     }
     clearTimeout(this.#timer);
-    // What comes in the same turn goes in one contact.
+    // Changes in the same turn of the event loop go into one contact.
     this.#inContact = true;
     setImmediate(() => {
-      void this.#contact();
+      void this.#makeContact();
     });
   }
 
-  async #contact(): Promise<void> {
-    this.#again = false;
+  async #makeContact(): Promise<void> {
+    this.#contactAgain = false;
     const { link } = this.#owner;
-    if (link === undefined) this.#owner.doubt();
+    if (link === undefined) this.#owner.markSuspect();
     if (link !== undefined && !this.#stopped) {
       const sentAt = this.#ctx.clock.now();
-      const told: CellContact = this.#keeper.contact();
-      const late = setTimeout(() => this.#owner.doubt(), CONTACT_LATE_MS);
+      const sent: CellContact = this.#supervisor.contact();
+      const slowTimer = setTimeout(() => this.#owner.markSuspect(), SLOW_CONTACT_MS);
       try {
-        const orders = await link.call('cell.contact', told, { timeoutMs: CONTACT_TIMEOUT_MS });
-        if (orders.unconfirmedMs > DOUBT_AFTER_MS) this.#owner.doubt();
-        else this.#owner.trust();
-        this.#keeper.apply(orders, { sentAt, told });
-        this.#pauseMs = pauseAfter(orders);
+        const orders = await link.call('cell.contact', sent, { timeoutMs: CONTACT_TIMEOUT_MS });
+        if (orders.unconfirmedMs > MAX_UNCONFIRMED_MS) this.#owner.markSuspect();
+        else this.#owner.markConfirmed();
+        this.#supervisor.apply(orders, { sentAt, sent });
+        this.#contactIntervalMs = nextContactIntervalMs(orders);
       } catch (err) {
         this.#noteFailure(err);
       } finally {
-        clearTimeout(late);
+        clearTimeout(slowTimer);
       }
     }
     this.#inContact = false;
-    if (this.#again) this.#contactNow();
-    else this.#schedule();
+    if (this.#contactAgain) this.#requestContact();
+    else this.#scheduleContact();
   }
 
   #noteFailure(err: unknown): void {
-    this.#pauseMs = PACED_CONTACT_MS;
+    this.#contactIntervalMs = SHORT_CONTACT_INTERVAL_MS;
     this.#ctx.metrics.count('contact.failed');
-    this.#owner.doubt();
-    if (err instanceof ProblemError && err.problem.kind === 'not-owner') this.#owner.lookNow();
-    else this.#ctx.log.warn({ err: String(err) }, 'a contact with the owner failed');
+    this.#owner.markSuspect();
+    if (err instanceof ProblemError && err.problem.kind === 'not-owner') this.#owner.refreshNow();
+    else this.#ctx.log.warn({ err: String(err) }, 'contact with the owner failed');
   }
 
-  #schedule(): void {
+  #scheduleContact(): void {
     if (this.#stopped) return;
-    this.#timer = setTimeout(() => this.#contactNow(), this.#pauseMs);
+    this.#timer = setTimeout(() => this.#requestContact(), this.#contactIntervalMs);
   }
 }
 
-/** Until the next contact, in ms. */
-function pauseAfter({ leaseMs, paces }: CellOrders): number {
-  if (paces.length > 0 || leaseMs === 0) return PACED_CONTACT_MS;
-  return Math.min(CONTACT_EVERY_MS, leaseMs / CONTACTS_PER_LEASE);
+/** Time until the next contact, in ms. */
+function nextContactIntervalMs({ leaseMs, paces }: CellOrders): number {
+  if (paces.length > 0 || leaseMs === 0) return SHORT_CONTACT_INTERVAL_MS;
+  return Math.min(CONTACT_INTERVAL_MS, leaseMs / CONTACTS_PER_LEASE);
 }
--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { cellOf, handIn, jobOf, ownerOf, type CellSteps } from '../owner/cell-steps.support.js';
 import { eventually } from '../testing/cell-world.support.js';
 
@@ -8,12 +8,12 @@
   const { workers } = cellOf(this);
   const counts = (): number[] => workers.map(({ store }) => store.calls.length);
   const before = counts();
-  await pause(4000);
+  await sleep(4000);
   const made = counts().map((count, index) => count - (before[index] ?? 0));
   assert.ok(Math.max(...made) <= 2, `calls: ${made.join(' ')}`);
 });
 
-Then('a job handed in there begins within 1.2 s', async function (this: CellSteps) {
+Then('a job submitted there starts within 1.2 s', async function (this: CellSteps) {
   await handIn(this, { entry: ownerOf(this), spec: { workMs: 200 } });
   const hasBegun = (): boolean => cellOf(this).starts(jobOf(this)).length > 0;
   assert.ok(await eventually(hasBegun, 1200));
@@ -24,10 +24,10 @@
   { timeout: 10_000 },
   async function (this: CellSteps, least: number, most: number) {
     const count = (): number => ownerOf(this).metrics.counters.get('owner.contact') ?? 0;
-    // What the start brought is told by then.
-    await pause(1000);
+    // By then everything about the start has been reported.
+    await sleep(1000);
     const before = count();
-    await pause(4000);
+    await sleep(4000);
     const made = count() - before;
     assert.ok(made >= least && made <= most, `${made} contacts`);
   },
--- a/packages/cell/src/guard/owner-link.ts
+++ b/packages/cell/src/guard/owner-link.ts
@@ -1,4 +1,4 @@
-/** Finds the cell's owner and keeps a link to it. */
+/** Finds the cell's owner in the store and keeps a link to it. */
 import type { Handlers, ProcessContext } from '@zincspan/core';
 import { Dialer, type Link } from '@zincspan/link';
 import { OWNER_KEY, unpackOwner, type Holder } from '../owner/owner-row.js';
@@ -6,35 +6,37 @@
 import type { RowStore } from '../store/row-store.js';
 
 /**
- * Pause between looks at the owner's row while the owner answers and the store confirms it, in ms: a rest, should both be
+ * Interval between reads of the owner's row while the owner answers and the store confirms it, in ms: a safeguard, should both be
  * wrong. Once a second from each of 160 guards was a tenth of all calls to the store.
  */
-const LOOK_EVERY_MS = 10_000;
+const REFRESH_INTERVAL_MS = 10_000;
 
-/** While that is in doubt, in ms: another entry takes the cell about 0.8 s after the owner was last confirmed. */
-const LOOK_IN_DOUBT_MS = 500;
+/**
+ * Interval while the owner may have failed, in ms: another entry takes the cell about 0.8 s after the owner was last confirmed.
+ */
+const SUSPECT_REFRESH_INTERVAL_MS = 500;
 
-/** And while there is no link, in ms. */
-const LOOK_WITHOUT_LINK_MS = 150;
+/** Interval while there is no link, in ms. */
+const NO_LINK_REFRESH_INTERVAL_MS = 150;
 
 const READ_TIMEOUT_MS = 1000;
 
-/** Heartbeats of links, in ms: two missed ones end a link. A link looks after itself twice in the time between them. */
+/** Heartbeats of links, in ms: two missed ones end a link. A link checks for silence twice in each interval. */
 export const LINK_HEARTBEAT = { everyMs: 800, silenceMs: 2000 };
 
-/** A link whose address answers nothing is redialled soon, in ms: an owner that restarts is back within a second. */
-const REDIAL = { firstMs: 50, maxMs: 300 };
+/** Backoff for redialling an address that doesn't answer, in ms. Short, as an owner that restarts is back within a second. */
+const REDIAL_BACKOFF = { firstMs: 50, maxMs: 300 };
 
-/** What the link is made of. */
+/** Dependencies of the link. */
 export interface OwnerLinkOptions {
   ctx: ProcessContext;
   store: RowStore;
   linkKey: string;
   handlers: Handlers;
-  onLink: () => void;
+  onLinkUp: () => void;
 }
 
-/** Follows the owner's row; never goes back to a lower term. */
+/** Connects to the owner that the store names; never goes back to one of a lower term. */
 export class OwnerLink {
   readonly #options: OwnerLinkOptions;
 
@@ -46,10 +48,10 @@
 
   #timer: NodeJS.Timeout | undefined;
 
-  #looking = false;
+  #isRefreshing = false;
 
-  /** The owner didn't answer in time, or isn't confirmed by the store any more. */
-  #inDoubt = false;
+  /** The owner didn't answer in time, or the store doesn't confirm it any more. */
+  #isSuspect = false;
 
   #stopped = false;
 
@@ -62,7 +64,7 @@
   }
 
   start(): void {
-    void this.#look();
+    void this.#refresh();
   }
 
   stop(): void {
@@ -72,49 +74,51 @@
   }
 
   /** The owner answered, and the store confirms it. */
-  trust(): void {
-    this.#inDoubt = false;
+  markConfirmed(): void {
+    this.#isSuspect = false;
   }
 
-  /** Another entry may own the cell by now: looks at once, and again until the owner is trusted. */
-  doubt(): void {
-    if (this.#inDoubt) return;
-    this.#inDoubt = true;
-    this.lookNow();
+  /**
+   * Another entry may own the cell by now: reads the owner's row at once, and at short intervals until the owner is confirmed.
+   */
+  markSuspect(): void {
+    if (this.#isSuspect) return;
+    this.#isSuspect = true;
+    this.refreshNow();
   }
 
-  /** The present owner says that it isn't: looks at once. */
-  lookNow(): void {
-    if (this.#looking || this.#stopped) return;
+  /** The process that was taken for the owner says that it isn't: reads the owner's row at once. */
+  refreshNow(): void {
+    if (this.#isRefreshing || this.#stopped) return;
     clearTimeout(this.#timer);
-    void this.#look();
+    void this.#refresh();
   }
 
-  async #look(): Promise<void> {
-    if (this.#looking) return;
-    this.#looking = true;
+  async #refresh(): Promise<void> {
+    if (this.#isRefreshing) return;
+    this.#isRefreshing = true;
     const { store, ctx } = this.#options;
     const result = await readRow(store, OWNER_KEY, { timeoutMs: READ_TIMEOUT_MS });
-    this.#looking = false;
+    this.#isRefreshing = false;
     if (this.#stopped) return;
     if (result.outcome === 'failed') ctx.metrics.count('owner-link.look-failed');
     if (result.outcome === 'found') {
       const { term, holder } = unpackOwner(result.row.value);
-      if (term > this.#term) this.#follow(term, holder);
+      if (term > this.#term) this.#connect(term, holder);
     }
     this.#timer = setTimeout(() => {
-      void this.#look();
-    }, this.#pauseMs());
+      void this.#refresh();
+    }, this.#refreshIntervalMs());
   }
 
-  #pauseMs(): number {
-    if (this.link === undefined) return LOOK_WITHOUT_LINK_MS;
-    return this.#inDoubt ? LOOK_IN_DOUBT_MS : LOOK_EVERY_MS;
+  #refreshIntervalMs(): number {
+    if (this.link === undefined) return NO_LINK_REFRESH_INTERVAL_MS;
+    return this.#isSuspect ? SUSPECT_REFRESH_INTERVAL_MS : REFRESH_INTERVAL_MS;
   }
 
-  #follow(term: number, holder: Holder | undefined): void {
-    const { ctx, linkKey, handlers, onLink } = this.#options;
-    ctx.log.info({ term, owner: holder?.id, address: holder?.address }, 'owner found');
+  #connect(term: number, holder: Holder | undefined): void {
+    const { ctx, linkKey, handlers, onLinkUp: onLink } = this.#options;
+    ctx.log.info({ term, owner: holder?.id, address: holder?.address }, 'cell owner found');
     this.#term = term;
     this.#dialer?.close();
     this.#holder = holder;
@@ -127,9 +131,9 @@
       heartbeat: LINK_HEARTBEAT,
       address: holder.address,
       expectId: holder.id,
-      backoff: REDIAL,
+      backoff: REDIAL_BACKOFF,
       onPeer: () => {
-        ctx.log.info({ owner: this.#holder?.id, term: this.#term }, 'link to the owner up');
+        ctx.log.info({ owner: this.#holder?.id, term: this.#term }, 'connected to the cell owner');
         onLink();
       },
     });
--- a/packages/cell/src/guard/runner-port.ts
+++ b/packages/cell/src/guard/runner-api.ts
@@ -1,14 +1,17 @@
-/** The runner beside a guard, as the guard calls it. */
+/** Calls from a guard to the runner on its VM. */
 import type { ListedEnd, RunStatus } from '@zincspan/core';
-import type { LifeIdentity } from '../runner/life-name.js';
+import type { RunnerIdentity } from '../runner/incarnation-id.js';
 
-/** One life of a runner and where it listens. Calls name the id only: another life with that id would take them as well. */
-export interface RunnerLife extends LifeIdentity {
+/**
+ * One incarnation of a runner and where it listens. Calls name only the id: another incarnation with that id would accept them as
+ * well.
+ */
+export interface RunnerIncarnation extends RunnerIdentity {
   address: string;
 }
 
-/** What the runner said of itself in its last heartbeat. */
-export interface RunnerReport extends RunnerLife {
+/** The runner's description of itself in its last heartbeat. */
+export interface RunnerHeartbeat extends RunnerIncarnation {
   service: string;
   failureDomain: string;
   labels: string[];
@@ -18,7 +21,7 @@
   remainingMs?: number;
   /** How much longer it works slowly after its start, in ms. */
   coldMs?: number;
-  /** Rises with each heartbeat of one life. */
+  /** Increases with each heartbeat of an incarnation. */
   sequence: number;
 }
 
@@ -26,39 +29,39 @@
 export type RunnerRefusal =
   /** It has seen a higher term. */
   | 'fence'
-  /** This run, or a higher one, was stopped or ended there. */
+  /** This run of the task, or one with a higher number, was stopped or ended there. */
   | 'old'
-  /** The order's time is over. */
+  /** The deadline of the order has passed. */
   | 'late'
   | 'room'
   | 'ticket'
-  /** It knows no such task. */
+  /** It doesn't know the task. */
   | 'unknown'
   /** It is unhealthy and has done nothing. */
   | 'unhealthy';
 
-/** Answers that carry nothing but the runner's clock, in ms. */
+/** Answer of a runner. `clockMs`: the runner's clock, in ms. */
 export type RunnerAnswer<T = object> =
   | ({ outcome: 'ok'; clockMs: number } & T)
   | { outcome: 'refused'; reason: RunnerRefusal; detail: string }
-  /** Another life of the runner answered. */
+  /** Another incarnation of the runner answered. */
   | { outcome: 'wrong-life' }
-  /** It may have been carried out, or may be carried out seconds later. */
+  /** The call may have been carried out, or may still be, seconds later. */
   | { outcome: 'no-answer'; detail: string };
 
-/** What runs and what has ended. */
-export interface Listing {
+/** Runs that are running and runs that have ended. */
+export interface RunListing {
   running: RunStatus[];
-  /** Ends that weren't confirmed yet. */
+  /** Ended runs that the guard hasn't confirmed yet. */
   ends: ListedEnd[];
-  /** When the life that answered began, as its heartbeats say it too. */
+  /** Start time of the incarnation that answered, as in its heartbeats. */
   bornMs: number | undefined;
 }
 
 /** Calls to one runner. None rejects. Times are on the runner's clock unless said otherwise. */
-export interface RunnerPort {
+export interface RunnerApi {
   start(
-    life: RunnerLife,
+    incarnation: RunnerIncarnation,
     order: {
       task: string;
       run: number;
@@ -71,20 +74,20 @@
     options: { timeoutMs: number },
   ): Promise<RunnerAnswer>;
   stop(
-    life: RunnerLife,
+    incarnation: RunnerIncarnation,
     order: { task: string; run: number; term: number },
     options: { timeoutMs: number },
   ): Promise<RunnerAnswer>;
-  /** Lets a run work at this share of its speed, in percent. */
+  /** Sets the speed of a run, in percent of full speed. */
   pace(
-    life: RunnerLife,
+    incarnation: RunnerIncarnation,
     order: { task: string; run: number; percent: number; term: number },
     options: { timeoutMs: number },
   ): Promise<RunnerAnswer>;
-  /** Renews the lease of all that runs, confirms ends, and waits up to `waitMs` for an end. */
-  look(
-    life: RunnerLife,
+  /** Renews the lease of all runs, confirms ended runs, and waits up to `waitMs` for a run to end. */
+  poll(
+    incarnation: RunnerIncarnation,
     order: { term: number; confirmedEnd: number; deadlineMs?: number; waitMs: number },
     options: { timeoutMs: number },
-  ): Promise<RunnerAnswer<Listing>>;
+  ): Promise<RunnerAnswer<RunListing>>;
 }
--- a/packages/cell/src/guard/runner-lease.steps.ts
+++ b/packages/cell/src/guard/runner-lease.steps.ts
@@ -15,7 +15,7 @@
 );
 
 When(
-  'a contact sent at {int} is answered with {int} ms',
+  'a contact sent at {int} is answered with a lease of {int} ms',
   function (this: LeaseSteps, sentAt: number, leaseMs: number) {
     this.lease.grant(sentAt, leaseMs);
   },
@@ -29,10 +29,10 @@
   assert.equal(this.lease.deadline(now), undefined);
 });
 
-Then('at {int} the lease is not over', function (this: LeaseSteps, now: number) {
-  assert.equal(this.lease.isOver(now), false);
+Then('at {int} the lease has not expired', function (this: LeaseSteps, now: number) {
+  assert.equal(this.lease.hasExpired(now), false);
 });
 
-Then('at {int} the lease is over', function (this: LeaseSteps, now: number) {
-  assert.equal(this.lease.isOver(now), true);
+Then('at {int} the lease has expired', function (this: LeaseSteps, now: number) {
+  assert.equal(this.lease.hasExpired(now), true);
 });
--- a/packages/cell/src/guard/runner-lease.ts
+++ b/packages/cell/src/guard/runner-lease.ts
@@ -1,50 +1,56 @@
 /**
- * The authority by which tasks go on, between two clocks. A contact that the owner answered gives it, counted from when
- * the contact was sent; the runner gets it as a moment on its own clock, so that a call that arrives late gives no more.
+ * The lease under which a runner's tasks go on. The owner grants it in its answer to a contact, counted from when the contact was
+ * sent. The runner gets it as a deadline on its own clock, so that a call that arrives late doesn't extend it.
  */
 
-import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
+import { LEASE_SLACK_MS, MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
 
 /** A reading of the runner's clock: it showed `runnerMs` no later than `at` on the guard's clock. */
-interface Reading {
+interface ClockSample {
   runnerMs: number;
   at: number;
 }
 
-/** One life of a runner. Times in ms; `now` is the guard's monotonic clock. */
+/** Lease of one incarnation of a runner. Times in ms; `now` is the guard's monotonic clock. */
 export class RunnerLease {
-  #reading: Reading | undefined;
+  #clockSample: ClockSample | undefined;
 
-  #authorityEnd = -Infinity;
+  #grantEndsAt = -Infinity;
 
-  /** Latest end of any lease that was handed on. */
-  #handedEnd: number;
+  /** Latest end of any lease that was passed to the runner. */
+  #issuedUntil: number;
 
-  /** `heldUntil`: somebody else may have handed it a lease until then. */
-  constructor({ heldUntil = -Infinity }: { heldUntil?: number } = {}) {
-    this.#handedEnd = heldUntil;
+  /** `issuedUntil`: calls for an earlier incarnation may have passed a lease to this one that ends then. */
+  constructor({ issuedUntil = -Infinity }: { issuedUntil?: number } = {}) {
+    this.#issuedUntil = issuedUntil;
   }
 
   noteClock(runnerMs: number, at: number): void {
-    this.#reading = { runnerMs, at };
+    this.#clockSample = { runnerMs, at };
   }
 
-  /** A contact sent at `sentAt` was answered with this authority. */
+  /** The owner answered a contact sent at `sentAt` with a lease of `leaseMs`. */
   grant(sentAt: number, leaseMs: number): void {
-    this.#authorityEnd = Math.max(this.#authorityEnd, sentAt + leaseMs);
+    this.#grantEndsAt = Math.max(this.#grantEndsAt, sentAt + leaseMs);
   }
 
-  /** The end of the authority on the runner's clock; undefined if there is none, or its clock isn't known. */
+  /**
+   * End of the granted lease on the runner's clock, which counts as passed on; undefined without a valid lease or a reading of
+   * that clock.
+   */
   deadline(now: number): number | undefined {
-    if (this.#reading === undefined || now >= this.#authorityEnd) return undefined;
-    this.#handedEnd = Math.max(this.#handedEnd, this.#authorityEnd);
-    const { runnerMs, at } = this.#reading;
-    return Math.floor(runnerMs + (this.#authorityEnd - at));
+    if (this.#clockSample === undefined || now >= this.#grantEndsAt) return undefined;
+    this.#issuedUntil = Math.max(this.#issuedUntil, this.#grantEndsAt);
+    const { runnerMs, at } = this.#clockSample;
+    return Math.floor(runnerMs + (this.#grantEndsAt - at));
   }
 
-  /** True once no lease that was handed on can still hold. */
-  isOver(now: number): boolean {
-    if (!Number.isFinite(this.#handedEnd)) return false;
-    return now > this.#handedEnd + (SLOW_CLOCK - 1) * (now - this.#handedEnd) + LEASE_SLACK_MS;
+  /** True once no lease that was passed to the runner can still be valid. */
+  hasExpired(now: number): boolean {
+    if (!Number.isFinite(this.#issuedUntil)) return false;
+    return (
+      now >
+      this.#issuedUntil + (MAX_CLOCK_SLOWDOWN - 1) * (now - this.#issuedUntil) + LEASE_SLACK_MS
+    );
   }
 }
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,6 +1,6 @@
 /** Public surface of @zincspan/cell: jobs as graphs of steps, the owner of a cell, guards and entries of it. */
 export * from './advice/advisor.js';
-export * from './clock/pause.js';
+export * from './clock/sleep.js';
 export * from './config/cell-config.js';
 export * from './config/config-watch.js';
 export * from './entry/call-result.js';
@@ -9,7 +9,7 @@
 export * from './entry/job-calls.js';
 export * from './evacuation/evacuations.js';
 export * from './guard/guard-app.js';
-export * from './guard/runner-port.js';
+export * from './guard/runner-api.js';
 export * from './job/job-rows.js';
 export * from './job/job-view.js';
 export * from './job/progress.js';
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import {
   CellWorld,
   callOf,
@@ -51,21 +51,21 @@
 
 Given('an owner whose feed stands still', async function (this: CellSteps) {
   // The entries look for each other every 2 s; what the feed was waiting for has come by then.
-  await pause(2500);
+  await sleep(2500);
   ownerOf(this).store.feedStandsStill = true;
-  await pause(1600);
+  await sleep(1600);
 });
 
 Given('an entry whose feed stands still', async function (this: CellSteps) {
   otherEntry(this).store.feedStandsStill = true;
   // What it was waiting for before has come by then.
-  await pause(1600);
+  await sleep(1600);
 });
 
 When('the feed of that entry goes on', async function (this: CellSteps) {
   cellOf(this).entries.forEach(({ store }) => Object.assign(store, { feedStandsStill: false }));
   // The feed tells of the job within 0.2 s; a second run would have been ordered, and refused once, by then.
-  await pause(1500);
+  await sleep(1500);
 });
 
 When(
@@ -80,7 +80,7 @@
       'done',
     );
     // The run ends after 2 s and the owner writes that down.
-    await pause(4000);
+    await sleep(4000);
   },
 );
 
@@ -120,7 +120,7 @@
 
 Given('an entry that has been cut from the store for 2 s', async function (this: CellSteps) {
   otherEntry(this).store.fault = 'silent';
-  await pause(2000);
+  await sleep(2000);
 });
 
 Given(
@@ -137,10 +137,10 @@
       const isLost = writes % 2 === 0;
       const result = await transact(tx, options);
       if (!isLost) return result;
-      await pause(options.timeoutMs);
+      await sleep(options.timeoutMs);
       return { outcome: 'unknown', detail: 'lost' };
     };
-    await pause(4000);
+    await sleep(4000);
   },
 );
 
@@ -171,7 +171,7 @@
   { timeout: 10_000 },
   async function (this: CellSteps) {
     const entry = await cellOf(this).addEntry();
-    await pause(3000);
+    await sleep(3000);
     entry.store.fault = 'silent';
   },
 );
@@ -208,7 +208,7 @@
 
 Given('entries that have all been cut from the store for 2 s', async function (this: CellSteps) {
   cellOf(this).entries.forEach(({ store }) => Object.assign(store, { fault: 'silent' }));
-  await pause(2000);
+  await sleep(2000);
 });
 
 When(
@@ -248,7 +248,7 @@
   const cell = cellOf(this);
   const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
   stores.forEach((store) => Object.assign(store, { fault: 'silent' }));
-  await pause(2500);
+  await sleep(2500);
   stores.forEach((store) => Object.assign(store, { fault: 'none' }));
 });
 
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -20,12 +20,12 @@
 } from '../evacuation/evacuations.js';
 import { JOB_TABLE } from '../job/job-rows.js';
 import { JobView, type KnownJob } from '../job/job-view.js';
-import { runnerIdOf } from '../runner/life-name.js';
+import { runnerIdOf } from '../runner/incarnation-id.js';
 import type { Row, RowKey, RowStore } from '../store/row-store.js';
 import { TableFollower } from '../store/table-follower.js';
 import type { Worker } from '../worker/worker.js';
 import { CONTACT_TIMEOUT_MS } from '../guard/guard-app.js';
-import { START_TAKES_MS } from '../guard/run-orders.js';
+import { MAX_START_DURATION_MS } from '../guard/run-order-dispatcher.js';
 import { ordersFor, takeUpContact } from './contact-handler.js';
 import { EndedSweeper } from './ended-sweeper.js';
 import { leaseLengthMs } from './lease-length.js';
@@ -61,7 +61,7 @@
 const POKE_TIMEOUT_MS = 1000;
 
 /** From the order in an owner's answer to its last try at a runner, in ms: the contact's time, and the guard's for a start. */
-const ORDER_TAKES_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
+const ORDER_TAKES_MS = CONTACT_TIMEOUT_MS + MAX_START_DURATION_MS;
 
 /** What is known of evacuations is good for this long at least, in ms: two reads of them. */
 const LEAST_STALE_MS = 900;
@@ -268,7 +268,7 @@
     const told = { term, unconfirmedMs, ...orders };
     if (unconfirmedMs >= UNCONFIRMED_MS) return { ...told, leaseMs: 0, starts: [] };
     const leaseMs = leaseLengthMs(worker.runner, this.#options.leaseMs);
-    worker.grant(this.#book.now(), leaseMs);
+    worker.grantLease(this.#book.now(), leaseMs);
     return { ...told, leaseMs };
   }
 
@@ -277,7 +277,7 @@
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
     if (runnerIdOf(earlier) !== runnerIdOf(runner.id)) return;
-    worker.grant(this.#book.now(), this.#options.leaseMs);
+    worker.grantLease(this.#book.now(), this.#options.leaseMs);
   }
 
   /** At once, so that what starts of them goes with the next write of a slow store, not with the one after. */
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { SLOW_CLOCK } from '../clock/lease-margin.js';
-import { pause } from '../clock/pause.js';
+import { MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
+import { sleep } from '../clock/sleep.js';
 import type { Step } from '../job/submission.js';
 import { CellWorld, callOf, eventually, submit } from '../testing/cell-world.support.js';
 import { TEST_LEASE_MS } from '../testing/worker-vm.support.js';
@@ -198,7 +198,7 @@
     cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []).length;
   assert.ok(await eventually(() => running() === 0, 2000));
   const { length } = cellOf(this).starts(jobOf(this));
-  await pause(500);
+  await sleep(500);
   assert.equal(cellOf(this).starts(jobOf(this)).length, length);
 });
 
@@ -211,7 +211,7 @@
 Then('its second run began later than the lease of the first', function (this: CellSteps) {
   const [first, second] = cellOf(this).starts(jobOf(this));
   assert.ok(first && second);
-  assert.ok(second.at - first.at >= TEST_LEASE_MS * SLOW_CLOCK);
+  assert.ok(second.at - first.at >= TEST_LEASE_MS * MAX_CLOCK_SLOWDOWN);
 });
 
 Then('no two runs of its task were at work at a time', function (this: CellSteps) {
--- a/packages/cell/src/owner/changing-room.steps.ts
+++ b/packages/cell/src/owner/changing-room.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { eventually } from '../testing/cell-world.support.js';
 import { sendHeartbeat } from '../testing/worker-vm.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
@@ -25,7 +25,7 @@
     const grows = accelerators > worker.accelerators;
     worker.accelerators = accelerators;
     sendHeartbeat(worker);
-    if (!grows) await pause(KNOWN_AFTER_MS);
+    if (!grows) await sleep(KNOWN_AFTER_MS);
   },
 );
 
@@ -46,7 +46,7 @@
     let seen = 0;
     while ((await cellOf(this).state(jobOf(this))) !== 'completed') {
       seen = Math.max(seen, runningNow(this));
-      await pause(LOOK_EVERY_MS);
+      await sleep(LOOK_EVERY_MS);
     }
     assert.ok(seen <= most, `${seen} ran at once`);
   },
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -74,14 +74,14 @@
 /** Sets the pace of what fills the worker by how its serving tasks do. */
 function watchServing(book: RunBook, worker: Worker, { running }: CellContact): void {
   const paces = running.flatMap(({ pace }) => pace ?? []);
-  if (paces.length > 0) worker.pacer.adopt(Math.min(...paces));
+  if (paces.length > 0) worker.paceController.restore(Math.min(...paces));
   const serving = running.flatMap((status) => {
     const targetMs = book.stepOf(assignmentOf(worker, status))?.targetMs;
     return targetMs === undefined ? [] : [{ tailMs: status.load ?? 0, targetMs }];
   });
-  const before = worker.pacer.percent;
-  worker.pacer.look(serving, book.now());
-  const { percent } = worker.pacer;
+  const before = worker.paceController.percent;
+  worker.paceController.update(serving, book.now());
+  const { percent } = worker.paceController;
   if (percent !== before) book.log('worker paced', { vm: worker.vm, percent, before, serving });
 }
 
@@ -123,7 +123,7 @@
 
 /** Nothing, until something was paced here: a runner lets each run work in full by itself. */
 function pacesFor(book: RunBook, worker: Worker, { running }: CellContact): PaceOrder[] {
-  const { isPacing, percent } = worker.pacer;
+  const { isActive: isPacing, percent } = worker.paceController;
   if (!isPacing) return [];
   return running
     .filter((status) => book.stepOf(assignmentOf(worker, status))?.fills)
--- a/packages/cell/src/owner/disturbed-fleet.steps.ts
+++ b/packages/cell/src/owner/disturbed-fleet.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { eventually } from '../testing/cell-world.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, handIn, jobOf, type CellSteps } from './cell-steps.support.js';
@@ -45,7 +45,7 @@
     const cell = cellOf(this);
     assert.ok(await eventually(() => cell.starts(jobOf(this)).length >= 2));
     cell.clock.aheadMs = aheadMs;
-    await pause(OFF_MS);
+    await sleep(OFF_MS);
     cell.clock.aheadMs = 0;
   },
 );
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -1,6 +1,6 @@
 /** The workers of a cell, and when what was given to one that is out of contact is surely over. */
 import type { Clock } from '@zincspan/core';
-import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
+import { LEASE_SLACK_MS, MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
 import { FRESH_RUNNER_MS } from '../job/crash-record.js';
 import type { Evacuations } from '../evacuation/evacuations.js';
 import { Worker, type Assignment } from '../worker/worker.js';
@@ -34,7 +34,8 @@
   }) {
     this.#clock = clock;
     this.#evacuations = evacuations;
-    this.#earlierGrantsEndAt = clock.now() + earlierGrantMs + leaseMs * SLOW_CLOCK + LEASE_SLACK_MS;
+    this.#earlierGrantsEndAt =
+      clock.now() + earlierGrantMs + leaseMs * MAX_CLOCK_SLOWDOWN + LEASE_SLACK_MS;
   }
 
   get(vm: string): Worker {
@@ -102,25 +103,25 @@
 
 function isPlaceable({ runner, contactAt, avoidUntil, health }: Worker, now: number): boolean {
   if (runner === undefined || runner.draining || !runner.reachable) return false;
-  if (health.isClosed(now)) return false;
+  if (health.isQuarantined(now)) return false;
   return now - contactAt < PLACE_WITHIN_MS && now >= avoidUntil;
 }
 
 function toRoom(worker: Worker, now: number): Room {
   const { vm, rack, runner } = worker;
-  const young = worker.youngRuns(now);
+  const young = worker.crashSuspects(now);
   return new Room({
     vm,
     runner: runner?.id ?? '',
     rack,
     labels: runner?.labels ?? [],
     service: runner?.service ?? '',
-    free: worker.free(),
+    free: worker.freeCapacity(),
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
-    suspicion: worker.health.suspicion(now),
+    suspicion: worker.health.recentFaults(now),
     youngJobs: new Set(young.map(({ jobId }) => jobId)),
-    trialOf: young.find(({ isOnTrial }) => isOnTrial)?.jobId,
+    trialOf: young.find(({ isOnProbation: isOnTrial }) => isOnTrial)?.jobId,
     isCold: worker.isCold(now),
-    isFresh: now - worker.lifeSince < FRESH_RUNNER_MS,
+    isFresh: now - worker.incarnationSince < FRESH_RUNNER_MS,
   });
 }
--- a/packages/cell/src/owner/link-key.ts
+++ b/packages/cell/src/owner/link-key.ts
@@ -4,7 +4,7 @@
 import { readRow } from '../store/read-row.js';
 import type { RowStore } from '../store/row-store.js';
 import { LINK_KEY_KEY } from './owner-row.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 const KEY_BYTES = 32;
 const CALL_TIMEOUT_MS = 1200;
@@ -28,6 +28,6 @@
       if (made.outcome === 'done' || made.outcome === 'conflict') continue;
     }
     if (attempt % 10 === 1) ctx.log.warn({ attempt }, 'link key not read yet');
-    await pause(RETRY_PAUSE_MS);
+    await sleep(RETRY_PAUSE_MS);
   }
 }
--- a/packages/cell/src/owner/progress-writer.steps.ts
+++ b/packages/cell/src/owner/progress-writer.steps.ts
@@ -2,7 +2,7 @@
 import { Given, Then, When } from '@cucumber/cucumber';
 import { quietContext } from '@zincspan/core';
 import { RowTables } from '@zincspan/stand-ins';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { jobRowKey, packSubmission, unpackProgress } from '../job/job-rows.js';
 import { eventually } from '../testing/cell-world.support.js';
 import { noEvacuations } from '../testing/test-evacuations.support.js';
@@ -111,6 +111,6 @@
 
 Then("the term is over and the stranger's progress stands", async function (this: WriterSteps) {
   assert.ok(await eventually(() => this.deposed.length === 1));
-  await pause(50);
+  await sleep(50);
   assert.deepEqual(this.tables.get(PROGRESS_KEY)?.value, STRANGER);
 });
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -15,7 +15,7 @@
 import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
 import { OWNER_KEY } from './owner-row.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /**
  * Jobs in one transaction: four entries each at most, beside the owner's row, its heartbeat and eighteen failure domains; the
@@ -181,7 +181,7 @@
     } else {
       this.#ctx.metrics.count(`progress.write-${result.outcome}`);
       if (result.outcome === 'unknown') this.#noteUnanswered(jobs);
-      await pause(RETRY_PAUSE_MS);
+      await sleep(RETRY_PAUSE_MS);
     }
   }
 
--- a/packages/cell/src/owner/returning-runners.steps.ts
+++ b/packages/cell/src/owner/restarting-runners.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
-import { lifeName } from '../runner/life-name.js';
+import { sleep } from '../clock/sleep.js';
+import { incarnationId } from '../runner/incarnation-id.js';
 import { eventually, loseEntry } from '../testing/cell-world.support.js';
 import { sendHeartbeat, reportOf, restartGuard } from '../testing/worker-vm.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
@@ -9,19 +9,19 @@
 
 const WHOLE_WORKER = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
 
-/** A gang ends for good within this time, in ms. */
-const GANG_WITHIN_MS = 10_000;
+/** Longest wait for a job to complete, in ms. */
+const JOB_TIMEOUT_MS = 10_000;
 
-/** A start is carried out this late, in ms: the runner has returned by then, and its guard knows. */
-const LATE_MS = 1200;
+/** Delay of starts, in ms: by then the runner has restarted, and its guard knows. */
+const START_DELAY_MS = 1200;
 
 const HOUR_MS = 3_600_000;
 
-/** A runner that crashed is back after this time, in ms. */
-const AWAY_MS = 400;
+/** Time until a crashed runner is back, in ms. */
+const RESTART_DELAY_MS = 400;
 
-/** Heartbeats of a life that was long. */
-const LONG_LIFE_BEATS = 1000;
+/** Heartbeats that a long incarnation has sent. */
+const EARLIER_HEARTBEATS = 1000;
 
 function firstWorker(world: CellSteps): Worker {
   const [worker] = cellOf(world).workers;
@@ -29,28 +29,29 @@
   return worker;
 }
 
-/** The owner knows this birth of the worker's runner. */
-async function isKnown(world: CellSteps, worker: Worker): Promise<void> {
+/** Waits until the owner knows the present incarnation of the worker's runner. */
+async function waitUntilKnown(world: CellSteps, worker: Worker): Promise<void> {
   const life = worker.lives.at(-1);
   const knows = (): boolean =>
     cellOf(world)
       .logged('runner known')
       .some(
-        ({ vm, runner }) => vm === worker.id && life !== undefined && runner === lifeName(life),
+        ({ vm, runner }) =>
+          vm === worker.id && life !== undefined && runner === incarnationId(life),
       );
-  // Where it never is, the scenario goes on and fails by what callers see.
+  // If it never does, the scenario goes on and fails by what callers see.
   await eventually(knows, 2000);
 }
 
-async function returns(world: CellSteps, worker: Worker): Promise<void> {
+async function restartRunner(world: CellSteps, worker: Worker): Promise<void> {
   cellOf(world).replaceRunner(worker);
-  await isKnown(world, worker);
+  await waitUntilKnown(world, worker);
 }
 
-async function lastCompletes(world: CellSteps): Promise<void> {
+async function waitForLastJob(world: CellSteps): Promise<void> {
   const job = world.jobs.at(-1) ?? '';
   const isOver = async (): Promise<boolean> => (await cellOf(world).state(job)) === 'completed';
-  assert.ok(await eventually(isOver, GANG_WITHIN_MS));
+  assert.ok(await eventually(isOver, JOB_TIMEOUT_MS));
 }
 
 /** Starts of all jobs, as `<task>` or `<task>#<run>`, and how often each came. */
@@ -63,166 +64,169 @@
   return counts;
 }
 
-function assertOnce(counts: Map<string, number>): void {
+function assertCountedOnce(counts: Map<string, number>): void {
   assert.deepEqual(
     [...counts].filter(([, count]) => count > 1),
     [],
   );
 }
 
-Given('runners keep their ids when they start again', function (this: CellSteps) {
+Given('runners keep their ids when they restart', function (this: CellSteps) {
   cellOf(this).keepsIds = true;
 });
 
-When('a job is handed in and completes', async function (this: CellSteps) {
+When('a job is submitted and completes', async function (this: CellSteps) {
   await handIn(this, { spec: { workMs: 100 } });
-  await lastCompletes(this);
+  await waitForLastJob(this);
 });
 
-When('{int} jobs are handed in', async function (this: CellSteps, count: number) {
+When('{int} jobs are submitted', async function (this: CellSteps, count: number) {
   for (let each = 0; each < count; each++) await handIn(this, { spec: { workMs: 300 } });
 });
 
-async function handInGang(world: CellSteps, tasks: number, spec: object = {}): Promise<void> {
+async function submitGang(world: CellSteps, tasks: number, spec: object = {}): Promise<void> {
   const steps = [testStep({ tasks, gang: true, demand: WHOLE_WORKER })];
   await handIn(world, { steps, spec: { gangs: { 0: tasks }, workMs: 300, ...spec } });
 }
 
 When(
-  'a gang of {int} tasks of whole workers, one of them slower, is handed in and completes',
+  'a gang of {int} whole-worker tasks, one of them slower, is submitted and completes',
   { timeout: 15_000 },
   async function (this: CellSteps, tasks: number) {
-    // The quick ones are at 100% when the last look sees them.
-    await handInGang(this, tasks, { workMsOf: { [tasks - 1]: 1500 } });
-    await lastCompletes(this);
+    // The quick tasks are at 100% in the last poll that lists them.
+    await submitGang(this, tasks, { workMsOf: { [tasks - 1]: 1500 } });
+    await waitForLastJob(this);
   },
 );
 
 When(
-  'a gang of {int} tasks of whole workers, one of them slower, is handed in while a runner forgets its ends',
+  'a gang of {int} whole-worker tasks, one of them slower, is submitted while a runner forgets its ended runs',
   { timeout: 15_000 },
   async function (this: CellSteps, tasks: number) {
     const { workers } = cellOf(this);
-    await handInGang(this, tasks, { workMsOf: { [tasks - 1]: 1500 } });
+    await submitGang(this, tasks, { workMsOf: { [tasks - 1]: 1500 } });
     const lives = (): Worker['lives'] => workers.flatMap(({ runner }) => runner.life ?? []);
     assert.ok(await eventually(() => lives().every((life) => life.running().length > 0)));
     const slow = `.${tasks - 1}`;
     const quick = lives().find((life) => life.running().every(({ task }) => !task.endsWith(slow)));
     assert.ok(quick);
     quick.forgetsEnds = true;
-    await lastCompletes(this);
+    await waitForLastJob(this);
     quick.forgetsEnds = false;
   },
 );
 
-When('the runners that it was on return', async function (this: CellSteps) {
+When('the runners that it ran on restart', async function (this: CellSteps) {
   const used = cellOf(this).workers.filter(({ lives }) => lives.at(-1)?.starts.length);
-  await Promise.all(used.map((worker) => returns(this, worker)));
+  await Promise.all(used.map((worker) => restartRunner(this, worker)));
 });
 
 When(
-  'a gang of {int} tasks of whole workers is handed in and completes',
+  'a gang of {int} whole-worker tasks is submitted and completes',
   { timeout: 15_000 },
   async function (this: CellSteps, tasks: number) {
-    await handInGang(this, tasks);
-    await lastCompletes(this);
+    await submitGang(this, tasks);
+    await waitForLastJob(this);
   },
 );
 
 When(
-  'a gang of {int} tasks of whole workers is handed in',
+  'a gang of {int} whole-worker tasks is submitted',
   async function (this: CellSteps, tasks: number) {
-    await handInGang(this, tasks);
+    await submitGang(this, tasks);
   },
 );
 
-When('the runner returns', async function (this: CellSteps) {
-  await returns(this, firstWorker(this));
+When('the runner restarts', async function (this: CellSteps) {
+  await restartRunner(this, firstWorker(this));
 });
 
-When('each runner returns', async function (this: CellSteps) {
-  await Promise.all(cellOf(this).workers.map((worker) => returns(this, worker)));
+When('each runner restarts', async function (this: CellSteps) {
+  await Promise.all(cellOf(this).workers.map((worker) => restartRunner(this, worker)));
 });
 
-When('each runner returns while the owner is lost', async function (this: CellSteps) {
+When('each runner restarts while the owner is lost', async function (this: CellSteps) {
   loseEntry(ownerOf(this));
-  await Promise.all(cellOf(this).workers.map((worker) => returns(this, worker)));
+  await Promise.all(cellOf(this).workers.map((worker) => restartRunner(this, worker)));
 });
 
-When('each runner returns while the guard of it is lost', async function (this: CellSteps) {
+When('each runner restarts while its guard is lost', async function (this: CellSteps) {
   cellOf(this).workers.forEach((worker) => restartGuard(worker));
-  await Promise.all(cellOf(this).workers.map((worker) => returns(this, worker)));
+  await Promise.all(cellOf(this).workers.map((worker) => restartRunner(this, worker)));
 });
 
-When('the runner returns with a clock that is an hour behind', async function (this: CellSteps) {
+When('the runner restarts with a clock that is an hour behind', async function (this: CellSteps) {
   cellOf(this).runnersBehindMs = HOUR_MS;
-  await returns(this, firstWorker(this));
+  await restartRunner(this, firstWorker(this));
 });
 
-When('the first runner returns and says that it leaves', async function (this: CellSteps) {
+When('the first runner restarts and reports that it is draining', async function (this: CellSteps) {
   const worker = firstWorker(this);
-  // Heartbeats of the new life have lower numbers than those before.
-  Object.assign(worker, { beats: LONG_LIFE_BEATS });
+  // Heartbeats of the new incarnation have lower numbers than those of the previous one.
+  Object.assign(worker, { beats: EARLIER_HEARTBEATS });
   sendHeartbeat(worker);
   cellOf(this).replaceRunner(worker);
   Object.assign(worker, { remainingMs: 20_000 });
   sendHeartbeat(worker);
-  await isKnown(this, worker);
+  await waitUntilKnown(this, worker);
 });
 
-Then('nothing was started on its new life', function (this: CellSteps) {
+Then('nothing was started on its new incarnation', function (this: CellSteps) {
   assert.deepEqual(firstWorker(this).lives.at(-1)?.starts, []);
 });
 
-When('the runner leaves and returns', async function (this: CellSteps) {
+When('the runner deregisters and restarts', async function (this: CellSteps) {
   const worker = firstWorker(this);
   Object.assign(worker, { remainingMs: 100 });
   sendHeartbeat(worker);
-  worker.guard.noteLeave(worker.lives.at(-1)?.id ?? '');
-  await returns(this, worker);
+  worker.guard.noteDeregistered(worker.lives.at(-1)?.id ?? '');
+  await restartRunner(this, worker);
 });
 
-When('a heartbeat of the life before comes, that says it leaves', async function (this: CellSteps) {
-  const worker = firstWorker(this);
-  const earlier = worker.lives.at(-2);
-  assert.ok(earlier);
-  const report = reportOf({ ...worker, beats: 999 }, earlier);
-  worker.guard.noteReport({ ...report, draining: true, remainingMs: 100 });
-  await pause(200);
-});
+When(
+  'a late heartbeat of the previous incarnation reports that it is draining',
+  async function (this: CellSteps) {
+    const worker = firstWorker(this);
+    const earlier = worker.lives.at(-2);
+    assert.ok(earlier);
+    const report = reportOf({ ...worker, beats: 999 }, earlier);
+    worker.guard.noteHeartbeat({ ...report, draining: true, remainingMs: 100 });
+    await sleep(200);
+  },
+);
 
 When(
-  'a job is handed in whose starts are on their way while the runners return',
+  'a job is submitted whose starts are in flight while the runners restart',
   async function (this: CellSteps) {
     const { workers } = cellOf(this);
-    workers.forEach(({ runner }) => Object.assign(runner, { lateStartsMs: LATE_MS }));
+    workers.forEach(({ runner }) => Object.assign(runner, { lateStartsMs: START_DELAY_MS }));
     await handIn(this, { spec: { workMs: 1500 } });
     assert.ok(await eventually(() => workers.some(({ runner }) => runner.lateCalls > 0)));
     workers.forEach(({ runner }) => Object.assign(runner, { lateStartsMs: undefined }));
-    await Promise.all(workers.map((worker) => returns(this, worker)));
+    await Promise.all(workers.map((worker) => restartRunner(this, worker)));
   },
 );
 
 When(
-  /^gangs and single tasks are handed in for (\d+) s, and each (\d\.\d) s two runners crash and return$/,
+  /^gangs and single tasks are submitted for (\d+) s, and each (\d\.\d) s two runners crash and restart$/,
   { timeout: 30_000 },
   async function (this: CellSteps, seconds: string, everySeconds: string) {
     const { workers } = cellOf(this);
     const rounds = Number(seconds) / Number(everySeconds);
     for (let round = 0; round < rounds; round++) {
-      await handInGang(this, 2 + (round % 2), { workMs: 500, workMsOf: { 0: 900 } });
+      await submitGang(this, 2 + (round % 2), { workMs: 500, workMsOf: { 0: 900 } });
       await handIn(this, { steps: [testStep({ tasks: 3 })], spec: { workMs: 700 } });
-      await pause(Number(everySeconds) * 1000);
+      await sleep(Number(everySeconds) * 1000);
       [round, round + 3].forEach((each) => {
         const worker = workers[each % workers.length];
-        if (worker !== undefined) cellOf(this).crashRunner(worker, AWAY_MS);
+        if (worker !== undefined) cellOf(this).crashRunner(worker, RESTART_DELAY_MS);
       });
     }
   },
 );
 
 When(
-  'a job that always fails is handed in, whose first start reaches a new life before that is known',
+  'a job that always fails is submitted, whose first start reaches a new incarnation before its first heartbeat',
   { timeout: 15_000 },
   async function (this: CellSteps) {
     const worker = firstWorker(this);
@@ -235,8 +239,8 @@
     runner.dark = false;
     const reaches = (): boolean => (worker.lives.at(-1)?.starts.length ?? 0) > 0;
     assert.ok(await eventually(reaches));
-    // Looks of the life before come to the new one until its heartbeat does.
-    await pause(1500);
+    // Polls for the previous incarnation reach the new one until its heartbeat arrives.
+    await sleep(1500);
     worker.mute = false;
   },
 );
@@ -246,7 +250,7 @@
 });
 
 When(
-  'all entries and guards are lost, and all runners return',
+  'all entries and guards are lost, and all runners restart',
   { timeout: 20_000 },
   async function (this: CellSteps) {
     const cell = cellOf(this);
@@ -265,11 +269,11 @@
 });
 
 Then('each task was started once', function (this: CellSteps) {
-  assertOnce(countStarts(this, ({ task }) => task));
+  assertCountedOnce(countStarts(this, ({ task }) => task));
 });
 
 Then('each run was started once', function (this: CellSteps) {
-  assertOnce(countStarts(this, ({ task, run }) => `${task}#${run}`));
+  assertCountedOnce(countStarts(this, ({ task, run }) => `${task}#${run}`));
 });
 
 Then('no two runs of a task worked at the same time', function (this: CellSteps) {
--- a/packages/cell/src/owner/run-book.ts
+++ b/packages/cell/src/owner/run-book.ts
@@ -193,7 +193,7 @@
     const { name, jobId, ref } = assignment;
     const job = this.jobs.get(jobId);
     if (how === 'done') {
-      worker.health.noteDone();
+      worker.health.noteSuccess();
       if (job !== undefined) this.#noteDuration(job, assignment);
     }
     if (how !== 'failed') return;
@@ -319,7 +319,7 @@
       unaccountedSince: undefined,
       unaccountedTold: false,
       stopping: undefined,
-      isOnTrial: isSuspect(job.progress.findTask(ref)?.crashes),
+      isOnProbation: isSuspect(job.progress.findTask(ref)?.crashes),
     });
   }
 
--- a/packages/cell/src/owner/run-watch.ts
+++ b/packages/cell/src/owner/run-watch.ts
@@ -1,5 +1,5 @@
 /** Looks over the runs of a cell for those that should go on elsewhere. */
-import { standsStill } from '../worker/standstill.js';
+import { isStalled } from '../worker/stalled-run.js';
 import type { Assignment } from '../worker/worker.js';
 import type { RunBook } from './run-book.js';
 
@@ -31,7 +31,7 @@
       const step = job?.submission.steps[ref.step];
       if (job === undefined || step === undefined || step.lasting) return;
       const { estimateMs } = step;
-      if (!standsStill(assignment, { estimateMs, contactAt: worker.contactAt })) return;
+      if (!isStalled(assignment, { estimateMs, contactAt: worker.contactAt })) return;
       job.avoid(ref, worker.vm, book.now());
       book.noteFault(worker, name, 'a run stood still');
       book.stop(assignment, 'stood still');
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -79,9 +79,9 @@
     evacuated: workers.filter((worker) => book.fleet.isEvacuated(worker)).length,
     draining: workers.filter(({ runner }) => runner?.draining).length,
     unreachable: workers.filter(({ runner }) => runner?.reachable === false).length,
-    closed: workers.filter(({ health }) => health.isClosed(book.now())).length,
+    closed: workers.filter(({ health }) => health.isQuarantined(book.now())).length,
     accelerators: sum(({ runner }) => runner?.capacity.accelerators ?? 0),
-    free: sum((worker) => worker.free().accelerators),
+    free: sum((worker) => worker.freeCapacity().accelerators),
     unaccounted: sum(unaccountedAccelerators),
   };
 }
--- a/packages/cell/src/pacing/pacing.steps.ts
+++ b/packages/cell/src/pacing/pacing.steps.ts
@@ -3,32 +3,32 @@
 import { CellWorld, eventually, submit } from '../testing/cell-world.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import type { Step } from '../job/submission.js';
-import { Pacer } from './pacer.js';
+import { PaceController } from './pace-controller.js';
 
 interface PacingSteps {
-  pacer: Pacer;
+  controller: PaceController;
   targetMs: number;
   now: number;
   paces: number[];
   pacingCell?: CellWorld;
 }
 
-const LOOK_EVERY_MS = 250;
+const UPDATE_INTERVAL_MS = 250;
 
 Given(
   'a worker whose serving task has a target of {int} ms',
   function (this: PacingSteps, targetMs: number) {
-    Object.assign(this, { pacer: new Pacer(), targetMs, now: 0, paces: [100] });
+    Object.assign(this, { controller: new PaceController(), targetMs, now: 0, paces: [100] });
   },
 );
 
 When(
-  'its tail is {int} ms for {int} ms',
+  'its tail latency is {int} ms for {int} ms',
   function (this: PacingSteps, tailMs: number, forMs: number) {
     const until = this.now + forMs;
-    for (; this.now < until; this.now += LOOK_EVERY_MS) {
-      this.pacer.look([{ tailMs, targetMs: this.targetMs }], this.now);
-      if (this.paces.at(-1) !== this.pacer.percent) this.paces.push(this.pacer.percent);
+    for (; this.now < until; this.now += UPDATE_INTERVAL_MS) {
+      this.controller.update([{ tailMs, targetMs: this.targetMs }], this.now);
+      if (this.paces.at(-1) !== this.controller.percent) this.paces.push(this.controller.percent);
     }
   },
 );
@@ -37,7 +37,7 @@
   assert.deepEqual(this.paces, list.split(', ').map(Number));
 });
 
-async function handIn(cell: CellWorld, step: Partial<Step>, spec: object): Promise<string> {
+async function submitJob(cell: CellWorld, step: Partial<Step>, spec: object): Promise<string> {
   const [entry] = cell.entries;
   assert.ok(entry);
   const id = cell.newJobId();
@@ -47,18 +47,18 @@
   return id;
 }
 
-function loads({ pacingCell }: PacingSteps): number[] {
+function tailLatencies({ pacingCell }: PacingSteps): number[] {
   const [worker] = pacingCell?.workers ?? [];
   return worker?.runner.life?.running().map(({ load }) => load) ?? [];
 }
 
 Given(
-  'a cell with one worker, on which a task serves with a target of {int} ms',
+  'a cell with one worker that runs a serving task with a target of {int} ms',
   async function (this: PacingSteps, targetMs: number) {
     const cell = new CellWorld();
     this.pacingCell = cell;
     await cell.start(1, 1);
-    await handIn(cell, { lasting: true, targetMs }, { servesMs: 40 });
+    await submitJob(cell, { lasting: true, targetMs }, { servesMs: 40 });
   },
 );
 
@@ -67,22 +67,22 @@
 });
 
 When(
-  'a task that fills raises its tail to {int} ms',
+  'a filler task raises its tail latency to {int} ms',
   async function (this: PacingSteps, tailMs: number) {
     assert.ok(this.pacingCell);
-    await handIn(this.pacingCell, { fills: true }, { workMs: 60_000, disturbsMs: tailMs - 40 });
-    assert.equal(Math.max(...loads(this)), tailMs);
+    await submitJob(this.pacingCell, { fills: true }, { workMs: 60_000, disturbsMs: tailMs - 40 });
+    assert.equal(Math.max(...tailLatencies(this)), tailMs);
   },
 );
 
 Then(
-  'its tail is below {int} ms within {int} s',
+  'its tail latency is below {int} ms within {int} s',
   async function (this: PacingSteps, targetMs: number, seconds: number) {
-    const isBelow = (): boolean => Math.max(...loads(this)) < targetMs;
+    const isBelow = (): boolean => Math.max(...tailLatencies(this)) < targetMs;
     assert.ok(await eventually(isBelow, seconds * 1000));
   },
 );
 
-Then('the task that fills still runs', function (this: PacingSteps) {
-  assert.equal(loads(this).length, 2);
+Then('the filler task still runs', function (this: PacingSteps) {
+  assert.equal(tailLatencies(this).length, 2);
 });
--- a/packages/cell/src/store/table-follower.ts
+++ b/packages/cell/src/store/table-follower.ts
@@ -1,7 +1,7 @@
 /** Reads a whole table once, then follows its feed; reads it anew when the history is gone. */
 import type { ProcessContext } from '@zincspan/core';
 import type { FeedRow, RowStore } from './row-store.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /**
  * How long a feed call waits for a change, in ms. Short, as a connection may go silent without an error, and a job whose entry
@@ -69,7 +69,7 @@
     const read = await readTable(store, table, { timeoutMs: READ_TIMEOUT_MS });
     if (this.#stopped) return false;
     if (read === undefined) {
-      await pause(RETRY_PAUSE_MS);
+      await sleep(RETRY_PAUSE_MS);
       return false;
     }
     this.#options.onRows(read.rows);
@@ -93,13 +93,13 @@
     }
     if (result.outcome === 'failed') {
       ctx.metrics.count('feed.failed');
-      await pause(RETRY_PAUSE_MS);
+      await sleep(RETRY_PAUSE_MS);
       return true;
     }
     if (this.#stopped) return false;
     this.#after = Math.max(this.#after, result.version);
     if (result.rows.length > 0) this.#options.onRows(result.rows);
-    await pause(FEED_PAUSE_MS);
+    await sleep(FEED_PAUSE_MS);
     return true;
   }
 }
--- a/packages/cell/src/testing/cell-world.support.ts
+++ b/packages/cell/src/testing/cell-world.support.ts
@@ -23,7 +23,7 @@
   startGuard,
   type WorkerVm,
 } from './worker-vm.support.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
 const HEARTBEAT_MS = 300;
@@ -313,7 +313,7 @@
 function memoryAdvisor(model: AdvisorModel): Advisor {
   return {
     advise: async (step, runners) => {
-      await pause(ADVICE_MS);
+      await sleep(ADVICE_MS);
       const approvals = model.advise(step, runners);
       return { outcome: 'advised', approvals, validMs: model.validMs };
     },
@@ -363,7 +363,7 @@
   const until = performance.now() + limitMs;
   while (performance.now() < until) {
     if (await condition()) return true;
-    await pause(20);
+    await sleep(20);
   }
   return false;
 }
--- a/packages/cell/src/testing/memory-row-store.support.ts
+++ b/packages/cell/src/testing/memory-row-store.support.ts
@@ -7,7 +7,7 @@
   TransactResult,
   Transaction,
 } from '../store/row-store.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /** What this process's calls meet. `lost`: writes are done and not answered. */
 export type StoreFault = 'none' | 'silent' | 'refuse' | 'lost';
@@ -54,7 +54,7 @@
     if (this.fault === 'silent') {
       return silence(timeoutMs, { outcome: 'unknown', detail: 'silent' });
     }
-    await pause(this.answerMs);
+    await sleep(this.answerMs);
     if (this.turnMs > 0) await this.#takeTurn();
     const result = this.#tables.transact({ ...tx, remove: tx.remove ?? [] });
     if (result.outcome === 'done') this.onDone(tx);
@@ -63,7 +63,7 @@
   }
 
   async #takeTurn(): Promise<void> {
-    const turn = (turns.get(this.#tables) ?? Promise.resolve()).then(() => pause(this.turnMs));
+    const turn = (turns.get(this.#tables) ?? Promise.resolve()).then(() => sleep(this.turnMs));
     turns.set(this.#tables, turn);
     await turn;
   }
@@ -78,7 +78,7 @@
     if (range.from === this.unreadableFrom && range.from !== undefined) {
       return { outcome: 'failed', detail: 'told not to answer' };
     }
-    await pause(this.answerMs);
+    await sleep(this.answerMs);
     const { version } = this.#tables;
     return { outcome: 'read', ...this.#tables.read(range), version };
   }
@@ -101,6 +101,6 @@
 }
 
 async function silence<T>(timeoutMs: number, result: T): Promise<T> {
-  await pause(timeoutMs);
+  await sleep(timeoutMs);
   return result;
 }
--- a/packages/cell/src/testing/memory-runner.support.ts
+++ b/packages/cell/src/testing/memory-runner.support.ts
@@ -1,12 +1,17 @@
 /** An emulated runner as a guard of a test calls it, with answers that are lost and starts that come late. */
 import type { RunnerModel } from '@zincspan/stand-ins';
-import type { Listing, RunnerAnswer, RunnerLife, RunnerPort } from '../guard/runner-port.js';
-import { pause } from '../clock/pause.js';
+import type {
+  RunListing,
+  RunnerAnswer,
+  RunnerIncarnation,
+  RunnerApi,
+} from '../guard/runner-api.js';
+import { sleep } from '../clock/sleep.js';
 
 const ANSWER_MS = 1;
 
 /** Calls one machine's runner, whichever life it is in. */
-export class MemoryRunner implements RunnerPort {
+export class MemoryRunner implements RunnerApi {
   life: RunnerModel | undefined;
 
   /** No call gets through. */
@@ -29,8 +34,8 @@
   }
 
   async start(
-    life: RunnerLife,
-    order: Parameters<RunnerPort['start']>[1],
+    life: RunnerIncarnation,
+    order: Parameters<RunnerApi['start']>[1],
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const { lateStartsMs } = this;
@@ -44,10 +49,10 @@
       // By then another life may be there, and takes it if it has the id that the call was meant for.
       setTimeout(() => this.#target(life)?.start(order), lateStartsMs);
       this.lateCalls += 1;
-      await pause(timeoutMs);
+      await sleep(timeoutMs);
       return { outcome: 'no-answer', detail: 'late' };
     }
-    await pause(ANSWER_MS);
+    await sleep(ANSWER_MS);
     if (this.resetStarts > 0) {
       this.resetStarts -= 1;
       if (this.resetStarts % 2 === 0) target.start(order);
@@ -59,39 +64,39 @@
   }
 
   async stop(
-    life: RunnerLife,
-    order: Parameters<RunnerPort['stop']>[1],
+    life: RunnerIncarnation,
+    order: Parameters<RunnerApi['stop']>[1],
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
     if (target === undefined) return this.#noTarget(timeoutMs);
-    await pause(ANSWER_MS);
+    await sleep(ANSWER_MS);
     const word = target.stop(order);
     if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
     return { outcome: 'refused', reason: word, detail: word };
   }
 
   async pace(
-    life: RunnerLife,
-    order: Parameters<RunnerPort['pace']>[1],
+    life: RunnerIncarnation,
+    order: Parameters<RunnerApi['pace']>[1],
     { timeoutMs }: { timeoutMs: number },
   ): Promise<RunnerAnswer> {
     const target = this.#target(life);
     if (target === undefined) return this.#noTarget(timeoutMs);
-    await pause(ANSWER_MS);
+    await sleep(ANSWER_MS);
     const word = target.pace(order);
     if (word === 'ok') return { outcome: 'ok', clockMs: target.clockMs };
     return { outcome: 'refused', reason: word, detail: word };
   }
 
-  async look(
-    life: RunnerLife,
-    { term, confirmedEnd: confirmed, deadlineMs, waitMs }: Parameters<RunnerPort['look']>[1],
+  async poll(
+    life: RunnerIncarnation,
+    { term, confirmedEnd: confirmed, deadlineMs, waitMs }: Parameters<RunnerApi['poll']>[1],
     { timeoutMs }: { timeoutMs: number },
-  ): Promise<RunnerAnswer<Listing>> {
+  ): Promise<RunnerAnswer<RunListing>> {
     const target = this.#target(life);
     if (target === undefined) return this.#noTarget(timeoutMs);
-    await pause(ANSWER_MS);
+    await sleep(ANSWER_MS);
     const word = target.hold({ term, confirmed, deadlineMs });
     if (word !== 'ok') return { outcome: 'refused', reason: word, detail: word };
     if (waitMs > 0) await target.ended(waitMs);
@@ -105,7 +110,7 @@
     };
   }
 
-  #target({ id }: RunnerLife): RunnerModel | undefined {
+  #target({ id }: RunnerIncarnation): RunnerModel | undefined {
     return !this.dark && this.life?.id === id ? this.life : undefined;
   }
 
@@ -114,7 +119,7 @@
   ): Promise<{ outcome: 'wrong-life' } | { outcome: 'no-answer'; detail: string }> {
     if (!this.dark && this.life !== undefined) return { outcome: 'wrong-life' };
     if (!this.dark) return { outcome: 'no-answer', detail: 'connection refused' };
-    await pause(timeoutMs);
+    await sleep(timeoutMs);
     return { outcome: 'no-answer', detail: 'dark' };
   }
 }
--- a/packages/cell/src/testing/worker-vm.support.ts
+++ b/packages/cell/src/testing/worker-vm.support.ts
@@ -2,7 +2,7 @@
 import { quietContext } from '@zincspan/core';
 import type { RunnerModel } from '@zincspan/stand-ins';
 import { GuardApp } from '../guard/guard-app.js';
-import type { RunnerReport } from '../guard/runner-port.js';
+import type { RunnerHeartbeat } from '../guard/runner-api.js';
 import type { MemoryRowStore } from './memory-row-store.support.js';
 import type { MemoryRunner } from './memory-runner.support.js';
 
@@ -36,7 +36,7 @@
   const { life, dark } = worker.runner;
   if (life === undefined || dark || worker.mute) return;
   Object.assign(worker, { beats: worker.beats + 1 });
-  worker.guard.noteReport(reportOf(worker, life, rack));
+  worker.guard.noteHeartbeat(reportOf(worker, life, rack));
 }
 
 /** What a life of the runner says of itself. */
@@ -44,7 +44,7 @@
   { remainingMs, accelerators, beats, failureDomain }: WorkerVm,
   { id, bornMs }: RunnerModel,
   rack = 'r1',
-): RunnerReport {
+): RunnerHeartbeat {
   return {
     id,
     address: '127.0.0.1:1',
@@ -72,7 +72,7 @@
   runner,
 }: Pick<WorkerVm, 'id' | 'store' | 'runner'>): GuardApp {
   const ctx = quietContext({ id, role: 'guard' });
-  const guard = new GuardApp({ ctx, store, runner, linkKey: LINK_KEY, holdMs: TEST_LEASE_MS });
+  const guard = new GuardApp({ ctx, store, runner, linkKey: LINK_KEY, maxLeaseMs: TEST_LEASE_MS });
   guard.start();
   return guard;
 }
--- a/packages/cell/src/worker/fleet-health.ts
+++ b/packages/cell/src/worker/fleet-health.ts
@@ -1,11 +1,11 @@
 /**
- * Whether failures are a worker's own fault. The load it answers: jobs that fail wherever they run, many at a time, beside
- * workers that fail whatever they start. The former would close one worker after the other until nothing is left.
+ * Tells faulty workers from faulty tasks. Jobs that fail wherever they run come many at a time, beside workers that fail every
+ * task they start. Without this distinction such jobs would quarantine one worker after another until none is left.
  */
 import type { WorkerHealth } from './worker-health.js';
 
-/** Where more than this share of all workers has failures, these are the tasks': the platform's grey ones are fewer. */
-const MOST_SUSPECT = 1 / 3;
+/** If a larger share of all workers has faults, the tasks are to blame: fewer than this fail without looking unhealthy. */
+const MAX_FAULTY_SHARE = 1 / 3;
 
 /** The health of all workers of a cell. */
 export class FleetHealth {
@@ -15,16 +15,18 @@
     this.#workers = workers;
   }
 
-  /** A task failed on a worker, or stood still there. True if the worker is closed by it. */
+  /** A task failed or stalled on a worker. True if the worker is quarantined for it. */
   noteFault(worker: WorkerHealth, task: string, now: number): boolean {
     worker.noteFault(task, now);
     if (this.#isWidespread(now)) return false;
-    return worker.closeIfDue(now);
+    return worker.quarantineIfFaulty(now);
   }
 
   #isWidespread(now: number): boolean {
     const all = [...this.#workers()];
-    const suspect = all.filter((worker) => worker.isClosed(now) || worker.suspicion(now) > 0);
-    return suspect.length > Math.max(1, MOST_SUSPECT * all.length);
+    const faulty = all.filter(
+      (worker) => worker.isQuarantined(now) || worker.recentFaults(now) > 0,
+    );
+    return faulty.length > Math.max(1, MAX_FAULTY_SHARE * all.length);
   }
 }
--- a/packages/cell/src/worker/worker-health.steps.ts
+++ b/packages/cell/src/worker/worker-health.steps.ts
@@ -9,7 +9,7 @@
   now: number;
 }
 
-function fail({ workers, fleet, now }: HealthSteps, worker: WorkerHealth, task: string): void {
+function failTask({ workers, fleet, now }: HealthSteps, worker: WorkerHealth, task: string): void {
   assert.ok(workers.includes(worker));
   fleet.noteFault(worker, task, now);
 }
@@ -25,18 +25,18 @@
   function (this: HealthSteps, first: string, second: string) {
     const [worker] = this.workers;
     assert.ok(worker);
-    [first, second].forEach((task) => fail(this, worker, task));
+    [first, second].forEach((task) => failTask(this, worker, task));
   },
 );
 
 When('two tasks fail on each worker', function (this: HealthSteps) {
   this.workers.forEach((worker, index) => {
-    fail(this, worker, `a${index}`);
-    fail(this, worker, `b${index}`);
+    failTask(this, worker, `a${index}`);
+    failTask(this, worker, `b${index}`);
   });
 });
 
-Then(/^(\d) workers? (?:is|are) closed$/, function (this: HealthSteps, count: string) {
-  const closed = this.workers.filter((worker) => worker.isClosed(this.now));
-  assert.equal(closed.length, Number(count));
+Then(/^(\d) workers? (?:is|are) quarantined$/, function (this: HealthSteps, count: string) {
+  const quarantined = this.workers.filter((worker) => worker.isQuarantined(this.now));
+  assert.equal(quarantined.length, Number(count));
 });
--- a/packages/cell/src/worker/worker-health.ts
+++ b/packages/cell/src/worker/worker-health.ts
@@ -1,59 +1,59 @@
 /**
- * Which workers are to be avoided, from what their runs come to. The load it answers: a worker that fails all that it
- * starts, or on which tasks stand still, while it looks healthy and, being empty, is chosen again and again.
+ * Quarantine of a worker by the outcome of its runs. A worker that fails every task it starts, or on which tasks stall, still
+ * looks healthy and, being empty, would be chosen again and again.
  */
 
-/** How long one failure, or one task that stood still, counts against a worker, in ms: longer than a retry takes. */
-const REMEMBER_MS = 8000;
+/** How long a fault (a failed or stalled task) counts against a worker, in ms: longer than a retry takes. */
+const FAULT_WINDOW_MS = 8000;
 
-/** Failures of different tasks within that time after which nothing is given to the worker. */
-const FAILURES_TO_CLOSE = 2;
+/** Faults of different tasks within that time after which the worker is quarantined. */
+const FAULTS_TO_QUARANTINE = 2;
 
-/** How long nothing is given to it, in ms; doubled each time, up to the bound. */
-const CLOSED_MS = 5000;
-const MOST_CLOSED_MS = 40_000;
+/** First quarantine, in ms; each further one is twice as long, up to the maximum. */
+const MIN_QUARANTINE_MS = 5000;
+const MAX_QUARANTINE_MS = 40_000;
 
-interface Mark {
+interface Fault {
   task: string;
   at: number;
 }
 
-/** One worker's record. Times are on the owner's monotonic clock. */
+/** Recent faults of one worker, and its quarantine. Times are on the owner's monotonic clock. */
 export class WorkerHealth {
-  #marks: Mark[] = [];
+  #faults: Fault[] = [];
 
-  #closedUntil = -Infinity;
+  #quarantinedUntil = -Infinity;
 
-  #closedMs = CLOSED_MS;
+  #quarantineMs = MIN_QUARANTINE_MS;
 
-  /** A run that ended done there: earlier failures were the tasks' own. */
-  noteDone(): void {
-    this.#marks = [];
-    this.#closedMs = CLOSED_MS;
+  /** A run completed there: the earlier failures were the tasks' own. */
+  noteSuccess(): void {
+    this.#faults = [];
+    this.#quarantineMs = MIN_QUARANTINE_MS;
   }
 
-  /** A run that failed there, or stood still. */
+  /** A run failed or stalled there. */
   noteFault(task: string, now: number): void {
-    this.#marks = this.#marks.filter(({ at }) => now - at < REMEMBER_MS);
-    if (!this.#marks.some((mark) => mark.task === task)) this.#marks.push({ task, at: now });
+    this.#faults = this.#faults.filter(({ at }) => now - at < FAULT_WINDOW_MS);
+    if (!this.#faults.some((fault) => fault.task === task)) this.#faults.push({ task, at: now });
   }
 
-  /** Closes it if enough tasks failed there lately; true if it did. */
-  closeIfDue(now: number): boolean {
-    if (this.#marks.length < FAILURES_TO_CLOSE || this.isClosed(now)) return false;
-    this.#closedUntil = now + this.#closedMs;
-    this.#closedMs = Math.min(MOST_CLOSED_MS, 2 * this.#closedMs);
-    this.#marks = [];
+  /** Quarantines the worker if enough tasks failed there recently; true if it did. */
+  quarantineIfFaulty(now: number): boolean {
+    if (this.#faults.length < FAULTS_TO_QUARANTINE || this.isQuarantined(now)) return false;
+    this.#quarantinedUntil = now + this.#quarantineMs;
+    this.#quarantineMs = Math.min(MAX_QUARANTINE_MS, 2 * this.#quarantineMs);
+    this.#faults = [];
     return true;
   }
 
-  /** Nothing is to be given to it. */
-  isClosed(now: number): boolean {
-    return now < this.#closedUntil;
+  /** True while no task may be placed on it. */
+  isQuarantined(now: number): boolean {
+    return now < this.#quarantinedUntil;
   }
 
-  /** How much it is to be avoided where there is a choice; 0 if it is sound. */
-  suspicion(now: number): number {
-    return this.#marks.filter(({ at }) => now - at < REMEMBER_MS).length;
+  /** Number of recent faults. Where there is a choice, workers with fewer faults are preferred. */
+  recentFaults(now: number): number {
+    return this.#faults.filter(({ at }) => now - at < FAULT_WINDOW_MS).length;
   }
 }
--- a/packages/cell/src/worker/worker.ts
+++ b/packages/cell/src/worker/worker.ts
@@ -1,53 +1,56 @@
-/** A worker as the owner of its cell sees it: its runner's life, what was given to it, what room is left. */
+/** A worker as the owner of its cell sees it: its runner's incarnation, the runs assigned to it, and its free capacity. */
 import type { RunnerFacts } from '@zincspan/core';
-import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
+import { LEASE_SLACK_MS, MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
 import { SUSPECT_WITHIN_MS } from '../job/crash-record.js';
 import type { TaskRef } from '../job/progress.js';
 import type { Demand } from '../job/submission.js';
-import { Pacer } from '../pacing/pacer.js';
+import { PaceController } from '../pacing/pace-controller.js';
 import { WorkerHealth } from './worker-health.js';
 
-/** A run that takes room on a worker until its end is known. */
+/** A run that occupies capacity on a worker until its end is known. */
 export interface Assignment {
   /** The task's name. */
   name: string;
   jobId: string;
   ref: TaskRef;
   run: number;
-  /** The runner's life it was given to. */
+  /** The runner incarnation that it was assigned to. */
   runner: string;
   demand: Demand;
-  /** The job's change that made it: an order is given once that change is durable. */
+  /** Number of the job's change that made the assignment: the start is ordered only once that change is durable. */
   change: number;
-  /** Last checkpoint that was heard of. */
+  /** The last checkpoint reported. */
   checkpoint: string;
-  /** It continued from a checkpoint. */
+  /** True if it resumed from a checkpoint. */
   resumed: boolean;
   percent: number;
-  /** As it was first listed: where a run that continues from a checkpoint began. */
+  /** `percent` when first listed: where a run that resumes from a checkpoint began. */
   firstPercent: number;
   /** When `percent` last grew. */
   progressAt: number;
   assignedAt: number;
-  /** First listed as running, on the owner's monotonic clock; undefined before. */
+  /** When it was first listed as running, on the owner's monotonic clock; undefined before. */
   runningAt: number | undefined;
-  /** Since when its worker has told nothing of it and was told nothing of it either, for the log; undefined: it is accounted for. */
+  /**
+   * Since when neither its worker has reported it nor the owner has sent its worker an order about it, for the log; undefined
+   * while it is accounted for.
+   */
   unaccountedSince: number | undefined;
-  /** The log told of it. */
+  /** True once the log has named it as unaccounted for. */
   unaccountedTold: boolean;
-  /** Why it is to be stopped. */
+  /** Why it is to be stopped; undefined if it isn't. */
   stopping: string | undefined;
-  /** The runner crashed under the run before it: whether it does again is to be seen. */
-  isOnTrial: boolean;
+  /** The runner crashed during the task's previous run: whether this task is the cause is still to be seen. */
+  isOnProbation: boolean;
 }
 
-/** An end that was taken up and isn't durable yet. */
+/** A run's end that was received and isn't durable yet. */
 interface PendingEnd {
   jobId: string;
   change: number;
 }
 
-/** One VM with a guard and, mostly, a runner. */
+/** One VM with a guard and usually a runner. */
 export class Worker {
   readonly vm: string;
 
@@ -55,13 +58,13 @@
 
   readonly health = new WorkerHealth();
 
-  readonly pacer = new Pacer();
+  readonly paceController = new PaceController();
 
-  readonly #ends = new Map<number, PendingEnd>();
+  readonly #pendingEnds = new Map<number, PendingEnd>();
 
   #contactAt = -Infinity;
 
-  #lifeSince = -Infinity;
+  #incarnationSince = -Infinity;
 
   #avoidUntil = -Infinity;
 
@@ -79,7 +82,7 @@
     this.vm = vm;
   }
 
-  /** As it last described itself. */
+  /** The runner's latest description of itself. */
   get runner(): RunnerFacts | undefined {
     return this.#runner;
   }
@@ -88,38 +91,38 @@
     return rackOf(this.#runner?.labels ?? []);
   }
 
-  /** When its runner's present life was first heard of. */
-  get lifeSince(): number {
-    return this.#lifeSince;
+  /** When its runner's present incarnation was first reported. */
+  get incarnationSince(): number {
+    return this.#incarnationSince;
   }
 
-  /** When it was last in contact. */
+  /** Time of the last contact. */
   get contactAt(): number {
     return this.#contactAt;
   }
 
-  /** It refused a start: nothing is given to it until then. */
+  /** Nothing is placed on it before this time, as it refused a start. */
   get avoidUntil(): number {
     return this.#avoidUntil;
   }
 
-  /** By when all authority that this owner gave it has surely ended; undefined while it gave none. */
+  /** When every lease that this owner granted it has surely expired; undefined if it granted none. */
   get leaseEndsAt(): number | undefined {
     return this.#leaseEndsAt;
   }
 
-  /** It may keep its tasks for this long. */
-  grant(now: number, leaseMs: number): void {
-    const endsAt = now + leaseMs * SLOW_CLOCK + LEASE_SLACK_MS;
+  /** Grants a lease: the worker may keep its tasks for this long. */
+  grantLease(now: number, leaseMs: number): void {
+    const endsAt = now + leaseMs * MAX_CLOCK_SLOWDOWN + LEASE_SLACK_MS;
     this.#leaseEndsAt = Math.max(this.#leaseEndsAt ?? -Infinity, endsAt);
   }
 
-  /** Its runner goes on at least until then; Infinity unless it is draining. */
+  /** Earliest time at which its runner may end; Infinity unless it is draining. */
   get drainEndsAt(): number {
     return this.#drainEndsAt;
   }
 
-  /** Its runner has started lately and works slowly. */
+  /** True while its runner works slowly after a start. */
   isCold(now: number): boolean {
     return now < this.#coldUntil;
   }
@@ -128,33 +131,33 @@
     this.#avoidUntil = Math.max(this.#avoidUntil, until);
   }
 
-  /** It is in contact. A new life of its runner numbers its ends anew. */
+  /** The guard made contact. A new incarnation of its runner numbers its ended runs from 1 again. */
   noteContact(now: number, runner: RunnerFacts | undefined): void {
     this.#contactAt = now;
     if (runner === undefined) return;
     if (runner.id !== this.#runner?.id) {
-      this.#ends.clear();
+      this.#pendingEnds.clear();
       this.#confirmedEnd = 0;
       this.#drainEndsAt = Infinity;
-      this.#lifeSince = now;
+      this.#incarnationSince = now;
     }
     this.#runner = runner;
     this.#coldUntil = now + (runner.coldMs ?? 0);
-    // What it last said may be as old as a heartbeat: the earliest moment that follows from it stands.
+    // The remaining time may be as old as a heartbeat: the earliest end that follows from any report stands.
     if (runner.draining && runner.remainingMs !== undefined) {
       this.#drainEndsAt = Math.min(this.#drainEndsAt, now + runner.remainingMs);
     }
   }
 
-  /** Runs that would be suspects if the runner crashed now. */
-  youngRuns(now: number): Assignment[] {
+  /** Runs that would be suspected of the crash if the runner crashed now. */
+  crashSuspects(now: number): Assignment[] {
     return [...this.assignments.values()].filter(
       ({ runningAt }) => runningAt === undefined || now - runningAt < SUSPECT_WITHIN_MS,
     );
   }
 
-  /** Room that nothing was given, also not what is still being stopped. */
-  free(): Demand {
+  /** Capacity that no run occupies. A run that is being stopped still occupies its share. */
+  freeCapacity(): Demand {
     const capacity = this.#runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 };
     const free = { ...capacity };
     this.assignments.forEach(({ demand }) => {
@@ -165,27 +168,27 @@
     return free;
   }
 
-  /** True if this end was taken up before. */
+  /** True if this end was received before. */
   hasEnd(number: number): boolean {
-    return number <= this.#confirmedEnd || this.#ends.has(number);
+    return number <= this.#confirmedEnd || this.#pendingEnds.has(number);
   }
 
   noteEnd(number: number, end: PendingEnd): void {
-    this.#ends.set(number, end);
+    this.#pendingEnds.set(number, end);
   }
 
-  /** True if an end of one of these jobs waits to be confirmed. */
+  /** True if an end of one of these jobs isn't durable yet. */
   hasPendingEndOf(jobIds: ReadonlySet<string>): boolean {
-    return [...this.#ends.values()].some(({ jobId }) => jobIds.has(jobId));
+    return [...this.#pendingEnds.values()].some(({ jobId }) => jobIds.has(jobId));
   }
 
-  /** Highest number up to which all ends that were listed are durable. */
+  /** Highest number up to which all listed ends are durable. */
   confirmEnds(isDurable: (end: PendingEnd) => boolean): number {
-    [...this.#ends.entries()]
+    [...this.#pendingEnds.entries()]
       .sort(([a], [b]) => a - b)
       .every(([number, end]) => {
         if (!isDurable(end)) return false;
-        this.#ends.delete(number);
+        this.#pendingEnds.delete(number);
         this.#confirmedEnd = Math.max(this.#confirmedEnd, number);
         return true;
       });
@@ -193,7 +196,7 @@
   }
 }
 
-/** The rack among a runner's labels: the kind of machine comes first, the rack second. */
+/** The rack among a runner's labels: the machine class comes first, the rack second. */
 export function rackOf(labels: readonly string[]): string {
   return labels[1] ?? '';
 }
