--- a/packages/cell/src/clock/elapsed-time.feature
+++ b/packages/cell/src/clock/elapsed-time.feature
@@ -8,6 +8,6 @@
       | monotonic | wall | uptime | age | why                                                |
       | 1         | 1    | 1      | 1   | all agree                                          |
       | 1         | 4    | 4      | 4   | the VM was suspended for 3 s                       |
-      | 1         | -2   | 1      | 1   | the wall clock was set back                       |
+      | 1         | -2   | 1      | 1   | the wall clock was set back                        |
       | 1         | -2   | 4      | 4   | it was set back while the VM was suspended for 3 s |
       | 1         | 1    | 4      | 1   | the uptime is that of a host that runs faster      |
--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -22,13 +22,13 @@
 Then(
   'the owner gets {int} to {int} contacts in the next 4 s',
   { timeout: 10_000 },
-  async function (this: CellSteps, least: number, most: number) {
+  async function (this: CellSteps, min: number, max: number) {
     const count = (): number => ownerOf(this).metrics.counters.get('owner.contact') ?? 0;
     // By then everything about the start has been reported.
     await sleep(1000);
     const before = count();
     await sleep(4000);
     const made = count() - before;
-    assert.ok(made >= least && made <= most, `${made} contacts`);
+    assert.ok(made >= min && made <= max, `${made} contacts`);
   },
 );
--- a/packages/cell/src/guard/owner-link.ts
+++ b/packages/cell/src/guard/owner-link.ts
@@ -117,7 +117,7 @@
   }
 
   #connect(term: number, holder: Holder | undefined): void {
-    const { ctx, linkKey, handlers, onLinkUp: onLink } = this.#options;
+    const { ctx, linkKey, handlers, onLinkUp } = this.#options;
     ctx.log.info({ term, owner: holder?.id, address: holder?.address }, 'cell owner found');
     this.#term = term;
     this.#dialer?.close();
@@ -134,7 +134,7 @@
       backoff: REDIAL_BACKOFF,
       onPeer: () => {
         ctx.log.info({ owner: this.#holder?.id, term: this.#term }, 'connected to the cell owner');
-        onLink();
+        onLinkUp();
       },
     });
     this.#dialer.start();
--- a/packages/cell/src/guard/run-order-dispatcher.ts
+++ b/packages/cell/src/guard/run-order-dispatcher.ts
@@ -29,7 +29,7 @@
 /** A pace that was set is sent again after this time, in ms, as an earlier call may be carried out late and undo it. */
 const PACE_RESEND_AFTER_MS = 2000;
 
-/** A call without an answer may still be carried out for this long, in ms: runners have been seen to do so some seconds later. */
+/** A call without an answer may still be carried out for this long, in ms: runners do so some seconds later. */
 const LATE_CALL_WINDOW_MS = 30_000;
 
 /**
@@ -57,7 +57,7 @@
 /** Where to block a run. Blocking goes on over changes of the term and ends with the incarnation. */
 export interface BlockTarget {
   /** The incarnation with the present term. */
-  target: () => OrderTarget;
+  currentTarget: () => OrderTarget;
   /** True once the incarnation has ended. */
   hasEnded: () => boolean;
 }
@@ -142,13 +142,15 @@
    */
   block({ task, run }: RunName, target: BlockTarget): void {
     this.#trackInProgress({ task, run }, 'blocking a run failed', () =>
-      this.#repeatBlock({ task, run }, target),
+      this.#blockWithRetries({ task, run }, target),
     );
   }
 
   start(order: StartOrder, target: OrderTarget): void {
     if (this.#pendingStarts.has(runKey(order))) return;
-    this.#trackInProgress(order, 'starting a run failed', () => this.#repeatStart(order, target));
+    this.#trackInProgress(order, 'starting a run failed', () =>
+      this.#startWithRetries(order, target),
+    );
   }
 
   stop(run: RunName, target: OrderTarget): void {
@@ -156,7 +158,7 @@
     const now = this.#ctx.clock.now();
     if (now - (this.#stopSentAt.get(key) ?? -Infinity) < STOP_RESEND_AFTER_MS) return;
     this.#stopSentAt.set(key, now);
-    void this.#repeatStop(run, target)
+    void this.#stopWithRetries(run, target)
       .then((done) => {
         if (done) this.#events.onStopped(run);
         else this.#stopSentAt.delete(key);
@@ -211,7 +213,7 @@
     return this.#ctx.clock.now();
   }
 
-  async #repeatStart(order: StartOrder, target: OrderTarget): Promise<void> {
+  async #startWithRetries(order: StartOrder, target: OrderTarget): Promise<void> {
     const { task, run, spec, checkpoint, ticket } = order;
     const startedAt = this.#ctx.clock.now();
     let unanswered = false;
@@ -256,7 +258,7 @@
       }
       this.#blocking.add(runKey(order));
       // A call without an answer may still be carried out: a stop makes the runner refuse it.
-      if (unanswered && !(await this.#repeatStop({ task, run }, target))) return;
+      if (unanswered && !(await this.#stopWithRetries({ task, run }, target))) return;
       const reason = toStartRefusal(answer);
       this.#ctx.log.warn({ task, run, reason, answer, unanswered }, 'run refused by its runner');
       this.#events.onRefused({ task, run, reason, at: this.#ctx.clock.now() });
@@ -264,9 +266,9 @@
     }
   }
 
-  async #repeatBlock(run: RunName, { target, hasEnded }: BlockTarget): Promise<void> {
+  async #blockWithRetries(run: RunName, { currentTarget, hasEnded }: BlockTarget): Promise<void> {
     while (!hasEnded()) {
-      if (await this.#repeatStop(run, target())) {
+      if (await this.#stopWithRetries(run, currentTarget())) {
         this.#ctx.log.info({ ...run }, 'late start for an earlier incarnation blocked');
         this.#events.onRefused({ ...run, reason: 'old', at: this.#now() });
         return;
@@ -309,7 +311,7 @@
   }
 
   /** Repeats a stop until it is answered. False if the incarnation or the term ended before. */
-  async #repeatStop({ task, run }: RunName, target: OrderTarget): Promise<boolean> {
+  async #stopWithRetries({ task, run }: RunName, target: OrderTarget): Promise<boolean> {
     while (target.isCurrent()) {
       const answer = await this.#runner.stop(
         target.incarnation,
--- a/packages/cell/src/guard/runner-lease.ts
+++ b/packages/cell/src/guard/runner-lease.ts
@@ -35,7 +35,7 @@
   }
 
   /**
-   * End of the granted lease on the runner's clock, which counts as passed on; undefined without a valid lease or a reading of
+   * End of the granted lease on the runner's clock, to be passed to the runner; undefined without a valid lease or a reading of
    * that clock.
    */
   deadline(now: number): number | undefined {
--- a/packages/cell/src/guard/runner-state.feature
+++ b/packages/cell/src/guard/runner-state.feature
@@ -48,6 +48,6 @@
 
     Examples:
       | is what           | at   | has or hasn't |
-      | is being blocked   | 2900 | hasn't        |
-      | is being blocked   | 6000 | has           |
+      | is being blocked  | 2900 | hasn't        |
+      | is being blocked  | 6000 | has           |
       | may be sent again | 6000 | hasn't        |
--- a/packages/cell/src/guard/runner-state.ts
+++ b/packages/cell/src/guard/runner-state.ts
@@ -110,7 +110,7 @@
     return now - this.#answeredAt < UNREACHABLE_AFTER_MS;
   }
 
-  /** Handles a later heartbeat of this incarnation. Returns the change in it that lets something start or prevents it, if any. */
+  /** Handles a later heartbeat of this incarnation. Returns what changed, if that affects what may start. */
   noteHeartbeat(heartbeat: RunnerHeartbeat): 'draining' | 'capacity' | undefined {
     const previous = this.#heartbeat;
     if (heartbeat.sequence <= previous.sequence) return undefined;
--- a/packages/cell/src/guard/runner-supervisor.ts
+++ b/packages/cell/src/guard/runner-supervisor.ts
@@ -119,9 +119,9 @@
 
   /** The report to the owner. */
   contact(): CellContact {
-    const current = this.#current;
-    if (!current?.state.hasListing) return EMPTY_CONTACT;
-    const { state, orders } = current;
+    const incarnation = this.#current;
+    if (!incarnation?.state.hasListing) return EMPTY_CONTACT;
+    const { state, orders } = incarnation;
     const { mayStillStart } = orders;
     const contact = state.contact(this.#now(), orders.inProgress(), {
       mayStillStart,
@@ -141,22 +141,22 @@
       this.#ctx.log.info({ term: orders.term }, 'orders received from the owner of a new term');
       this.#term = orders.term;
     }
-    const current = this.#current;
-    if (current === undefined || orders.runner !== current.state.incarnationId) return;
+    const incarnation = this.#current;
+    if (incarnation === undefined || orders.runner !== incarnation.state.incarnationId) return;
     if (sent.crash !== undefined && sent.crash === this.#crash) this.#crashAckedAt ??= this.#now();
-    const { state } = current;
+    const { state } = incarnation;
     if (orders.leaseMs > 0) state.lease.grant(sentAt, orders.leaseMs);
     state.noteReported(sent, orders.confirmedEnd);
-    const target = this.#target(current);
+    const target = this.#target(incarnation);
     // The orders would reach the incarnation that has replaced this one under the same id.
     if (state.isReplaced) return;
     orders.starts.forEach((order) => {
       const { task, run } = order;
-      if (!state.isLeaving) current.orders.start(order, target);
+      if (!state.isLeaving) incarnation.orders.start(order, target);
       else state.noteRefused({ task, run, reason: 'unavailable', at: this.#now() });
     });
-    orders.stops.forEach((run) => current.orders.stop(run, target));
-    orders.paces.forEach((order) => current.orders.setPace(order, target));
+    orders.stops.forEach((run) => incarnation.orders.stop(run, target));
+    orders.paces.forEach((order) => incarnation.orders.setPace(order, target));
   }
 
   async #verify(heartbeat: RunnerHeartbeat): Promise<void> {
@@ -196,8 +196,8 @@
     const issuedUntil = keepsId ? now + this.#maxLeaseMs : -Infinity;
     const state = new RunnerState({ heartbeat, now, issuedUntil });
     const orders = this.#newDispatcher(state);
-    const current = { state, orders };
-    this.#current = current;
+    const incarnation = { state, orders };
+    this.#current = incarnation;
     this.#ctx.log.info(
       {
         runner: state.incarnationId,
@@ -206,8 +206,8 @@
       },
       'new runner incarnation adopted',
     );
-    if (keepsId) this.#blockLateStarts(current, previous);
-    void this.#pollUntilReplaced(current);
+    if (keepsId) this.#blockLateStarts(incarnation, previous);
+    void this.#pollUntilReplaced(incarnation);
   }
 
   #newDispatcher(state: RunnerState): RunOrderDispatcher {
@@ -230,23 +230,23 @@
   }
 
   /** Calls address a runner by its id: the new incarnation carries out starts in flight that were meant for the previous one. */
-  #blockLateStarts(current: SupervisedIncarnation, previous: SupervisedIncarnation): void {
+  #blockLateStarts(incarnation: SupervisedIncarnation, previous: SupervisedIncarnation): void {
     previous.orders.possibleLateStarts().forEach((run) =>
-      current.orders.block(run, {
-        target: () => this.#target(current),
-        hasEnded: () => this.#current !== current || this.#stopped,
+      incarnation.orders.block(run, {
+        currentTarget: () => this.#target(incarnation),
+        hasEnded: () => this.#current !== incarnation || this.#stopped,
       }),
     );
   }
 
-  async #pollUntilReplaced(current: SupervisedIncarnation): Promise<void> {
-    while (this.#current === current && !this.#stopped) {
+  async #pollUntilReplaced(incarnation: SupervisedIncarnation): Promise<void> {
+    while (this.#current === incarnation && !this.#stopped) {
       try {
-        await this.#poll(current);
+        await this.#poll(incarnation);
       } catch (err) {
         this.#ctx.metrics.count('runner.look-failed');
         this.#ctx.log.error(
-          { err, runner: current.state.incarnationId },
+          { err, runner: incarnation.state.incarnationId },
           'polling the runner failed',
         );
         await sleep(POLL_RETRY_INTERVAL_MS);
@@ -254,8 +254,8 @@
     }
   }
 
-  async #poll(current: SupervisedIncarnation): Promise<void> {
-    const { state } = current;
+  async #poll(incarnation: SupervisedIncarnation): Promise<void> {
+    const { state } = incarnation;
     const sentAt = this.#now();
     const hasPendingEnds = state.hasUnconfirmedEnds;
     const isUrgent = hasPendingEnds || state.needsListing || !state.hasListing;
@@ -274,7 +274,7 @@
       },
       { timeoutMs: waitMs + POLL_SLACK_MS },
     );
-    if (this.#current !== current) return;
+    if (this.#current !== incarnation) return;
     const listing = listingOf(answer, state.heartbeat);
     if (listing !== undefined) {
       if (state.noteListing(listing, { sentAt, now: this.#now() })) this.#onChange();
@@ -284,7 +284,7 @@
     this.#ctx.metrics.count(`runner.look-${answer.outcome}`);
     if (answer.outcome === 'ok') this.#noteOtherIncarnation(state, answer.bornMs);
     if (answer.outcome === 'refused') state.noteAnswer(this.#now());
-    else this.#noteNoAnswer(current);
+    else this.#noteNoAnswer(incarnation);
     if (answer.outcome === 'wrong-life') this.#onChange();
     await sleep(POLL_RETRY_INTERVAL_MS);
   }
@@ -315,9 +315,9 @@
 
   /** Records a crash if the previous incarnation was replaced without having deregistered or announced a drain. */
   #recordCrash(): void {
-    const current = this.#current;
-    if (current === undefined || current.state.isLeaving) return;
-    const { state, orders } = current;
+    const incarnation = this.#current;
+    if (incarnation === undefined || incarnation.state.isLeaving) return;
+    const { state, orders } = incarnation;
     const now = this.#now();
     // The next incarnation may be there before any call to the previous one has failed.
     state.noteNoAnswer(now, orders.pendingStarts());
--- a/packages/cell/src/owner/restarting-runners.feature
+++ b/packages/cell/src/owner/restarting-runners.feature
@@ -20,7 +20,7 @@
     Given a cell of 2 entries and 3 workers
     And runners keep their ids when they restart
     When a gang of 2 whole-worker tasks is submitted and completes
-    And the runners that it ran on restart
+    And the runners that ran it restart
     And a gang of 3 whole-worker tasks, one of them slower, is submitted and completes
     And a gang of 3 whole-worker tasks is submitted
     Then each of them completes
@@ -53,8 +53,8 @@
     And no two runs of a task worked at the same time
 
     Examples:
-      | something       |
-      | the owner       |
+      | something |
+      | the owner |
       | its guard |
 
   Scenario: a new incarnation with an earlier start time, from a clock that was set back, is used
@@ -126,7 +126,7 @@
   Scenario: runners that restart again and again, under gangs and single tasks
     Given a cell of 2 entries and 6 workers
     And runners keep their ids when they restart
-    When gangs and single tasks are submitted for 10 s, and each 1.5 s two runners crash and restart
+    When gangs and single tasks are submitted for 10 s, and every 1.5 s two runners crash and restart
     Then each of them completes
     And each run was started once
     And no two runs of a task worked at the same time
--- a/packages/cell/src/owner/restarting-runners.steps.ts
+++ b/packages/cell/src/owner/restarting-runners.steps.ts
@@ -31,13 +31,13 @@
 
 /** Waits until the owner knows the present incarnation of the worker's runner. */
 async function waitUntilKnown(world: CellSteps, worker: Worker): Promise<void> {
-  const life = worker.lives.at(-1);
+  const incarnation = worker.lives.at(-1);
   const knows = (): boolean =>
     cellOf(world)
       .logged('runner known')
       .some(
         ({ vm, runner }) =>
-          vm === worker.id && life !== undefined && runner === incarnationId(life),
+          vm === worker.id && incarnation !== undefined && runner === incarnationId(incarnation),
       );
   // If it never does, the scenario goes on and fails by what callers see.
   await eventually(knows, 2000);
@@ -105,10 +105,16 @@
   async function (this: CellSteps, tasks: number) {
     const { workers } = cellOf(this);
     await submitGang(this, tasks, { workMsOf: { [tasks - 1]: 1500 } });
-    const lives = (): Worker['lives'] => workers.flatMap(({ runner }) => runner.life ?? []);
-    assert.ok(await eventually(() => lives().every((life) => life.running().length > 0)));
+    const incarnations = (): Worker['lives'] => workers.flatMap(({ runner }) => runner.life ?? []);
+    assert.ok(
+      await eventually(() =>
+        incarnations().every((incarnation) => incarnation.running().length > 0),
+      ),
+    );
     const slow = `.${tasks - 1}`;
-    const quick = lives().find((life) => life.running().every(({ task }) => !task.endsWith(slow)));
+    const quick = incarnations().find((incarnation) =>
+      incarnation.running().every(({ task }) => !task.endsWith(slow)),
+    );
     assert.ok(quick);
     quick.forgetsEnds = true;
     await waitForLastJob(this);
@@ -116,7 +122,7 @@
   },
 );
 
-When('the runners that it ran on restart', async function (this: CellSteps) {
+When('the runners that ran it restart', async function (this: CellSteps) {
   const used = cellOf(this).workers.filter(({ lives }) => lives.at(-1)?.starts.length);
   await Promise.all(used.map((worker) => restartRunner(this, worker)));
 });
@@ -208,15 +214,15 @@
 );
 
 When(
-  /^gangs and single tasks are submitted for (\d+) s, and each (\d\.\d) s two runners crash and restart$/,
+  /^gangs and single tasks are submitted for (\d+) s, and every (\d\.\d) s two runners crash and restart$/,
   { timeout: 30_000 },
-  async function (this: CellSteps, seconds: string, everySeconds: string) {
+  async function (this: CellSteps, seconds: string, intervalSeconds: string) {
     const { workers } = cellOf(this);
-    const rounds = Number(seconds) / Number(everySeconds);
+    const rounds = Number(seconds) / Number(intervalSeconds);
     for (let round = 0; round < rounds; round++) {
       await submitGang(this, 2 + (round % 2), { workMs: 500, workMsOf: { 0: 900 } });
       await handIn(this, { steps: [testStep({ tasks: 3 })], spec: { workMs: 700 } });
-      await sleep(Number(everySeconds) * 1000);
+      await sleep(Number(intervalSeconds) * 1000);
       [round, round + 3].forEach((each) => {
         const worker = workers[each % workers.length];
         if (worker !== undefined) cellOf(this).crashRunner(worker, RESTART_DELAY_MS);
--- a/packages/cell/src/pacing/pacing.steps.ts
+++ b/packages/cell/src/pacing/pacing.steps.ts
@@ -24,8 +24,8 @@
 
 When(
   'its tail latency is {int} ms for {int} ms',
-  function (this: PacingSteps, tailMs: number, forMs: number) {
-    const until = this.now + forMs;
+  function (this: PacingSteps, tailMs: number, durationMs: number) {
+    const until = this.now + durationMs;
     for (; this.now < until; this.now += UPDATE_INTERVAL_MS) {
       this.controller.update([{ tailMs, targetMs: this.targetMs }], this.now);
       if (this.paces.at(-1) !== this.controller.percent) this.paces.push(this.controller.percent);
--- a/packages/cell/src/worker/fleet-health.ts
+++ b/packages/cell/src/worker/fleet-health.ts
@@ -4,7 +4,7 @@
  */
 import type { WorkerHealth } from './worker-health.js';
 
-/** If a larger share of all workers has faults, the tasks are to blame: fewer than this fail without looking unhealthy. */
+/** If a larger share of all workers has faults, the tasks are to blame: gray failures of workers are rarer on the platform. */
 const MAX_FAULTY_SHARE = 1 / 3;
 
 /** The health of all workers of a cell. */
