--- a/packages/cell/src/advice/approval-requester.ts
+++ b/packages/cell/src/advice/approval-requester.ts
@@ -2,7 +2,7 @@
 import type { ProcessContext } from '@zincspan/core';
 import type { ApprovalCache } from './approval-cache.js';
 import type { Advisor } from './advisor.js';
-import { runnerIdOf } from '../runner/life-name.js';
+import { runnerIdOf } from '../runner/incarnation-id.js';
 
 /** Covers the advisor's decision, its share for each runner, and the calls queued ahead of this one. */
 const ADVISOR_TIMEOUT_MS = 5000;
--- a/packages/cell/src/evacuation/evacuation-poller.ts
+++ b/packages/cell/src/evacuation/evacuation-poller.ts
@@ -1,6 +1,6 @@
 /** Polls the operator's evacuations while an entry owns the cell. */
 import type { ProcessContext } from '@zincspan/core';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import type { RowStore } from '../store/row-store.js';
 import type { EvacuationChange, Evacuations } from './evacuations.js';
 
@@ -43,7 +43,7 @@
         this.#options.ctx.metrics.count('evacuation.read-failed');
         this.#options.ctx.log.error({ err }, 'failed to read evacuations');
       }
-      await pause(POLL_INTERVAL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
--- a/packages/cell/src/guard/guard-load.steps.ts
+++ b/packages/cell/src/guard/guard-load.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import {
   cellOf,
   submitJob,
@@ -16,13 +16,13 @@
     const { workers } = cellOf(this);
     const counts = (): number[] => workers.map(({ store }) => store.calls.length);
     const before = counts();
-    await pause(4000);
+    await sleep(4000);
     const made = counts().map((count, index) => count - (before[index] ?? 0));
     assert.ok(Math.max(...made) <= 2, `calls: ${made.join(' ')}`);
   },
 );
 
-Then('a job handed in there begins within 1.2 s', async function (this: CellTestContext) {
+Then('a job submitted there starts within 1.2 s', async function (this: CellTestContext) {
   await submitJob(this, { entry: ownerEntry(this), spec: { workMs: 200 } });
   const hasBegun = (): boolean => cellOf(this).starts(firstJob(this)).length > 0;
   assert.ok(await eventually(hasBegun, 1200));
@@ -31,13 +31,13 @@
 Then(
   'the owner gets {int} to {int} contacts in the next 4 s',
   { timeout: 10_000 },
-  async function (this: CellTestContext, least: number, most: number) {
+  async function (this: CellTestContext, min: number, max: number) {
     const count = (): number => ownerEntry(this).metrics.counters.get('owner.contact') ?? 0;
-    // What the start brought is told by then.
-    await pause(1000);
+    // By then everything about the start has been reported.
+    await sleep(1000);
     const before = count();
-    await pause(4000);
+    await sleep(4000);
     const made = count() - before;
-    assert.ok(made >= least && made <= most, `${made} contacts`);
+    assert.ok(made >= min && made <= max, `${made} contacts`);
   },
 );
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -20,12 +20,12 @@
 } from '../evacuation/evacuations.js';
 import { JOB_TABLE } from '../job/job-rows.js';
 import { JobView, type JobSnapshot } from '../job/job-view.js';
-import { runnerIdOf } from '../runner/life-name.js';
+import { runnerIdOf } from '../runner/incarnation-id.js';
 import type { Row, RowKey, RowStore } from '../store/row-store.js';
 import { TableFollower } from '../store/table-follower.js';
 import type { Worker } from '../worker/worker.js';
 import { CONTACT_TIMEOUT_MS } from '../guard/guard-app.js';
-import { START_TAKES_MS } from '../guard/run-orders.js';
+import { MAX_START_DURATION_MS } from '../guard/run-order-dispatcher.js';
 import { ordersFor, applyContact } from './contact-handler.js';
 import { EndedJobSweeper } from './ended-job-sweeper.js';
 import { leaseDurationMs } from './lease-duration.js';
@@ -61,7 +61,7 @@
 const NOTIFY_TIMEOUT_MS = 1000;
 
 /** Longest time from an order in the owner's answer to its last attempt at the runner, in ms: a contact plus a guard's start. */
-const ORDER_DELIVERY_MS = CONTACT_TIMEOUT_MS + START_TAKES_MS;
+const ORDER_DELIVERY_MS = CONTACT_TIMEOUT_MS + MAX_START_DURATION_MS;
 
 /** Minimum time for which known evacuations stay valid, in ms: two reads of them. */
 const MIN_EVACUATION_VALIDITY_MS = 900;
@@ -268,7 +268,7 @@
     const answer = { term, unconfirmedMs, ...orders };
     if (unconfirmedMs >= LEASE_MAX_UNCONFIRMED_MS) return { ...answer, leaseMs: 0, starts: [] };
     const leaseMs = leaseDurationMs(worker.runner, this.#options.leaseMs);
-    worker.grant(this.#registry.now(), leaseMs);
+    worker.grantLease(this.#registry.now(), leaseMs);
     return { ...answer, leaseMs };
   }
 
@@ -277,7 +277,7 @@
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
     if (runnerIdOf(earlier) !== runnerIdOf(runner.id)) return;
-    worker.grant(this.#registry.now(), this.#options.leaseMs);
+    worker.grantLease(this.#registry.now(), this.#options.leaseMs);
   }
 
   /** Runs a pass at once: with a slow store, starts of these jobs then go into the next write, not the one after. */
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { SLOW_CLOCK } from '../clock/lease-margin.js';
-import { pause } from '../clock/pause.js';
+import { MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
+import { sleep } from '../clock/sleep.js';
 import type { Step } from '../job/submission.js';
 import { TestCell, jobCall, eventually, submitJob } from '../testing/test-cell.support.js';
 import { TEST_LEASE_MS } from '../testing/test-worker.support.js';
@@ -207,7 +207,7 @@
     cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []).length;
   assert.ok(await eventually(() => running() === 0, 2000));
   const { length } = cellOf(this).starts(firstJob(this));
-  await pause(500);
+  await sleep(500);
   assert.equal(cellOf(this).starts(firstJob(this)).length, length);
 });
 
@@ -220,7 +220,7 @@
 Then('its second run began later than the lease of the first', function (this: CellTestContext) {
   const [first, second] = cellOf(this).starts(firstJob(this));
   assert.ok(first && second);
-  assert.ok(second.at - first.at >= TEST_LEASE_MS * SLOW_CLOCK);
+  assert.ok(second.at - first.at >= TEST_LEASE_MS * MAX_CLOCK_SLOWDOWN);
 });
 
 Then('no two runs of its task were at work at a time', function (this: CellTestContext) {
--- a/packages/cell/src/owner/changing-capacity.steps.ts
+++ b/packages/cell/src/owner/changing-capacity.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { eventually } from '../testing/test-cell.support.js';
 import { sendHeartbeat } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
@@ -24,7 +24,7 @@
     const grows = accelerators > worker.accelerators;
     worker.accelerators = accelerators;
     sendHeartbeat(worker);
-    if (!grows) await pause(HEARTBEAT_KNOWN_AFTER_MS);
+    if (!grows) await sleep(HEARTBEAT_KNOWN_AFTER_MS);
   },
 );
 
@@ -50,7 +50,7 @@
     let maxSeen = 0;
     while ((await cellOf(this).jobState(firstJob(this))) !== 'completed') {
       maxSeen = Math.max(maxSeen, runningTasks(this));
-      await pause(POLL_INTERVAL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
     assert.ok(maxSeen <= max, `${maxSeen} tasks ran at the same time`);
   },
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -78,14 +78,14 @@
 /** Adapts the speed of filler runs on the worker to the latency of its serving tasks. */
 function adjustPace(registry: RunRegistry, worker: Worker, { running }: CellContact): void {
   const paces = running.flatMap(({ pace }) => pace ?? []);
-  if (paces.length > 0) worker.pacer.adopt(Math.min(...paces));
+  if (paces.length > 0) worker.paceController.restore(Math.min(...paces));
   const serving = running.flatMap((status) => {
     const targetMs = registry.stepOf(assignmentOf(worker, status))?.targetMs;
     return targetMs === undefined ? [] : [{ tailMs: status.load ?? 0, targetMs }];
   });
-  const before = worker.pacer.percent;
-  worker.pacer.look(serving, registry.now());
-  const { percent } = worker.pacer;
+  const before = worker.paceController.percent;
+  worker.paceController.update(serving, registry.now());
+  const { percent } = worker.paceController;
   if (percent !== before) registry.log('pace changed', { vm: worker.vm, percent, before, serving });
 }
 
@@ -135,7 +135,7 @@
   worker: Worker,
   { running }: CellContact,
 ): PaceOrder[] {
-  const { isPacing, percent } = worker.pacer;
+  const { isActive: isPacing, percent } = worker.paceController;
   if (!isPacing) return [];
   return running
     .filter((status) => registry.stepOf(assignmentOf(worker, status))?.fills)
--- a/packages/cell/src/owner/fleet-disturbances.steps.ts
+++ b/packages/cell/src/owner/fleet-disturbances.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 import { eventually } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import { cellOf, submitJob, firstJob, type CellTestContext } from './cell-test-context.support.js';
@@ -45,7 +45,7 @@
     const cell = cellOf(this);
     assert.ok(await eventually(() => cell.starts(firstJob(this)).length >= 2));
     cell.clock.wallOffsetMs = aheadMs;
-    await pause(CLOCK_OFF_MS);
+    await sleep(CLOCK_OFF_MS);
     cell.clock.wallOffsetMs = 0;
   },
 );
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -1,6 +1,6 @@
 /** The workers of a cell: which may be given tasks, and whose leases have certainly expired. */
 import type { Clock } from '@zincspan/core';
-import { LEASE_SLACK_MS, SLOW_CLOCK } from '../clock/lease-margin.js';
+import { LEASE_SLACK_MS, MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
 import { RECENT_RESTART_MS } from '../job/crash-record.js';
 import type { Evacuations } from '../evacuation/evacuations.js';
 import { Worker, type Assignment } from '../worker/worker.js';
@@ -35,7 +35,7 @@
     this.#clock = clock;
     this.#evacuations = evacuations;
     this.#previousLeasesEndAt =
-      clock.now() + previousOwnerGrantMs + leaseMs * SLOW_CLOCK + LEASE_SLACK_MS;
+      clock.now() + previousOwnerGrantMs + leaseMs * MAX_CLOCK_SLOWDOWN + LEASE_SLACK_MS;
   }
 
   get(vm: string): Worker {
@@ -103,25 +103,25 @@
 
 function isAvailable({ runner, contactAt, avoidUntil, health }: Worker, now: number): boolean {
   if (runner === undefined || runner.draining || !runner.reachable) return false;
-  if (health.isClosed(now)) return false;
+  if (health.isQuarantined(now)) return false;
   return now - contactAt < MAX_CONTACT_AGE_MS && now >= avoidUntil;
 }
 
 function toAvailableWorker(worker: Worker, now: number): AvailableWorker {
   const { vm, rack, runner } = worker;
-  const recentRuns = worker.youngRuns(now);
+  const recentRuns = worker.crashSuspects(now);
   return new AvailableWorker({
     vm,
     runner: runner?.id ?? '',
     rack,
     labels: runner?.labels ?? [],
     service: runner?.service ?? '',
-    free: worker.free(),
+    free: worker.freeCapacity(),
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
-    penalty: worker.health.suspicion(now),
+    penalty: worker.health.recentFaults(now),
     startingJobs: new Set(recentRuns.map(({ jobId }) => jobId)),
-    suspectJob: recentRuns.find(({ isOnTrial }) => isOnTrial)?.jobId,
+    suspectJob: recentRuns.find(({ isOnProbation: isOnTrial }) => isOnTrial)?.jobId,
     isCold: worker.isCold(now),
-    isRecentlyRestarted: now - worker.lifeSince < RECENT_RESTART_MS,
+    isRecentlyRestarted: now - worker.incarnationSince < RECENT_RESTART_MS,
   });
 }
--- a/packages/cell/src/owner/link-key.ts
+++ b/packages/cell/src/owner/link-key.ts
@@ -4,7 +4,7 @@
 import { readRow } from '../store/read-row.js';
 import type { RowStore } from '../store/row-store.js';
 import { LINK_KEY_ROW_KEY } from './owner-row.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 const KEY_BYTES = 32;
 const STORE_TIMEOUT_MS = 1200;
@@ -28,6 +28,6 @@
       if (created.outcome === 'done' || created.outcome === 'conflict') continue;
     }
     if (attempt % 10 === 1) ctx.log.warn({ attempt }, 'link key not read from store yet, retrying');
-    await pause(RETRY_DELAY_MS);
+    await sleep(RETRY_DELAY_MS);
   }
 }
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -15,7 +15,7 @@
 import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
 import { OWNER_ROW_KEY } from './owner-row.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /**
  * Maximum number of jobs in one transaction: up to four entries each, besides the owner row, its heartbeat and eighteen failure
@@ -181,7 +181,7 @@
     } else {
       this.#ctx.metrics.count(`progress.write-${result.outcome}`);
       if (result.outcome === 'unknown') this.#keepUnanswered(jobs);
-      await pause(RETRY_DELAY_MS);
+      await sleep(RETRY_DELAY_MS);
     }
   }
 
--- a/packages/cell/src/owner/run-watchdog.ts
+++ b/packages/cell/src/owner/run-watchdog.ts
@@ -1,5 +1,5 @@
 /** Stops runs that should continue elsewhere: stalled ones, and those on runners that are about to exit. */
-import { standsStill } from '../worker/standstill.js';
+import { isStalled } from '../worker/stalled-run.js';
 import type { Assignment } from '../worker/worker.js';
 import type { RunRegistry } from './run-registry.js';
 
@@ -32,7 +32,7 @@
       const step = job?.submission.steps[ref.step];
       if (job === undefined || step === undefined || step.lasting) return;
       const { estimateMs } = step;
-      if (!standsStill(assignment, { estimateMs, contactAt: worker.contactAt })) return;
+      if (!isStalled(assignment, { estimateMs, contactAt: worker.contactAt })) return;
       job.avoidWorker(ref, worker.vm, book.now());
       book.recordFault(worker, name, 'run stalled');
       book.stopRun(assignment, 'run stalled');
--- a/packages/cell/src/testing/memory-row-store.support.ts
+++ b/packages/cell/src/testing/memory-row-store.support.ts
@@ -7,7 +7,7 @@
   TransactResult,
   Transaction,
 } from '../store/row-store.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 /** Fault of this process's calls. `silent`: no answer; `lost`: writes are committed but not answered. */
 export type StoreFault = 'none' | 'silent' | 'refuse' | 'lost';
@@ -54,7 +54,7 @@
     if (this.fault === 'silent') {
       return delayed(timeoutMs, { outcome: 'unknown', detail: 'silent' });
     }
-    await pause(this.answerMs);
+    await sleep(this.answerMs);
     if (this.turnMs > 0) await this.#awaitTurn();
     const result = this.#tables.transact({ ...tx, remove: tx.remove ?? [] });
     if (result.outcome === 'done') this.onDone(tx);
@@ -63,7 +63,7 @@
   }
 
   async #awaitTurn(): Promise<void> {
-    const turn = (lastTurns.get(this.#tables) ?? Promise.resolve()).then(() => pause(this.turnMs));
+    const turn = (lastTurns.get(this.#tables) ?? Promise.resolve()).then(() => sleep(this.turnMs));
     lastTurns.set(this.#tables, turn);
     await turn;
   }
@@ -78,7 +78,7 @@
     if (range.from === this.unreadableRangeStart && range.from !== undefined) {
       return { outcome: 'failed', detail: 'injected read failure' };
     }
-    await pause(this.answerMs);
+    await sleep(this.answerMs);
     const { version } = this.#tables;
     return { outcome: 'read', ...this.#tables.read(range), version };
   }
@@ -101,6 +101,6 @@
 }
 
 async function delayed<T>(timeoutMs: number, result: T): Promise<T> {
-  await pause(timeoutMs);
+  await sleep(timeoutMs);
   return result;
 }
--- a/packages/cell/src/testing/test-cell.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -29,7 +29,7 @@
   startGuard,
   type TestWorker,
 } from './test-worker.support.js';
-import { pause } from '../clock/pause.js';
+import { sleep } from '../clock/sleep.js';
 
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
 const HEARTBEAT_MS = 300;
@@ -319,7 +319,7 @@
 function inMemoryAdvisor(model: AdvisorModel): Advisor {
   return {
     advise: async (step, runners) => {
-      await pause(ADVICE_MS);
+      await sleep(ADVICE_MS);
       const approvals = model.advise(step, runners);
       return { outcome: 'advised', approvals, validMs: model.validMs };
     },
@@ -372,7 +372,7 @@
   const until = performance.now() + limitMs;
   while (performance.now() < until) {
     if (await condition()) return true;
-    await pause(20);
+    await sleep(20);
   }
   return false;
 }
