--- a/packages/cell/src/config/cell-config.ts
+++ b/packages/cell/src/config/cell-config.ts
@@ -1,31 +1,31 @@
-/** The operator's configuration in the project's own terms. */
+/** The operator's configuration, independent of its wire format. */
 
-/** A queue of jobs. `host` and `pathPrefix` select it. */
+/** A queue of jobs, selected by a request's host and path prefix. */
 export interface Queue {
   name: string;
   host: string;
   pathPrefix: string;
-  /** Whose runners run its tasks. */
+  /** Name of the service whose runners run its tasks. */
   service: string;
-  /** 0 comes first and may preempt others. */
+  /** 0 is the highest priority and may preempt others. */
   priority: number;
-  /** Failed runs of a task, or of a gang, after which the job has failed. */
+  /** Number of failed runs of a task, or of a gang, after which the job fails. */
   maxAttempts: number;
-  /** A job's objective is this many times its longest chain of work, plus `targetLatencyMs`. */
+  /** A job's latency objective is this many times its critical path, plus `targetLatencyMs`. */
   stretch: number;
   targetLatencyMs: number;
-  /** Needs no key. */
+  /** Requests need no API key. */
   isPublic: boolean;
-  /** Its steps may run only where the placement advisor approves. */
+  /** Steps may run only where the placement advisor approves. */
   needsAdvice: boolean;
 }
 
 /** A service: a pool of workers with their runners. */
 export interface Service {
   name: string;
-  /** Its runners refuse what doesn't fit; else they start whatever they are told to. */
+  /** Its runners refuse tasks that exceed their capacity; otherwise they start whatever they are told to. */
   guardsCapacity: boolean;
-  /** Its VMs are off and aren't paid for. */
+  /** Its VMs are powered off and not billed. */
   standby: boolean;
 }
 
@@ -33,11 +33,11 @@
 export interface Account {
   name: string;
   keys: readonly string[];
-  /** Accelerators that are its own for jobs of priority 0, at all times. */
+  /** Accelerators reserved at all times for this account's jobs of priority 0. */
   guaranteedAccelerators: number;
 }
 
-/** Bounds on what callers send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -45,7 +45,7 @@
   idleTimeoutMs: number;
 }
 
-/** One version, in full. */
+/** One complete version of the configuration. */
 export interface CellConfig {
   version: number;
   queues: readonly Queue[];
@@ -54,7 +54,7 @@
   limits: CallerLimits;
 }
 
-/** The queue with the longest prefix of the path, under this host. */
+/** Finds the queue of this host whose prefix is the longest match for the path. */
 export function findQueue(config: CellConfig, host: string, path: string): Queue | undefined {
   return config.queues
     .filter((queue) => queue.host === host && path.startsWith(queue.pathPrefix))
@@ -65,7 +65,7 @@
     );
 }
 
-/** The account that a key belongs to. */
-export function accountOfKey(config: CellConfig, key: string): Account | undefined {
+/** Finds the account that an API key belongs to. */
+export function findAccount(config: CellConfig, key: string): Account | undefined {
   return config.accounts.find(({ keys }) => keys.includes(key));
 }
--- a/packages/cell/src/entry/acceptance-route.ts
+++ b/packages/cell/src/entry/acceptance-route.ts
@@ -11,7 +11,7 @@
 import type { Link } from '@zincspan/link';
 import { jobRowKey } from '../job/job-rows.js';
 import type { RowKey, TransactResult, Transaction } from '../store/row-store.js';
-import type { WatchedStore } from '../store/watched-store.js';
+import type { MonitoredStore } from '../store/monitored-store.js';
 
 /** The owner is given this long, in ms: the write that it is at and its next one, with a store that takes half a second. */
 const HAND_OVER_TIMEOUT_MS = 1200;
@@ -27,7 +27,7 @@
 /** What the route is made of. */
 export interface AcceptanceRouteOptions {
   ctx: ProcessContext;
-  store: WatchedStore;
+  store: MonitoredStore;
   configKey: RowKey;
   /** Accepts here; undefined while another entry owns the cell. Throws ProblemError `not-owner` if nothing was done. */
   ownAccept: () => ((call: AcceptanceCall) => Promise<AcceptanceResult>) | undefined;
--- a/packages/cell/src/entry/acceptance.ts
+++ b/packages/cell/src/entry/acceptance.ts
@@ -1,10 +1,10 @@
 /** Writes that accept or cancel a job, and what follows from answers that don't come. */
 import type { ProcessContext } from '@zincspan/core';
-import type { ConfigWatch } from '../config/config-watch.js';
+import type { ConfigWatcher } from '../config/config-watcher.js';
 import { jobRowKey, packSubmission } from '../job/job-rows.js';
 import type { JobRequest, Submission } from '../job/submission.js';
 import { sameRow, type Row } from '../store/row-store.js';
-import type { WatchedStore } from '../store/watched-store.js';
+import type { MonitoredStore } from '../store/monitored-store.js';
 import type { AcceptanceRoute, SubmissionWrite } from './acceptance-route.js';
 import type { CallRefusal, CancelResult, SubmitResult } from './call-result.js';
 import type { Admitted, CallerCall, CallerGate } from './caller-gate.js';
@@ -45,9 +45,9 @@
 export class Acceptance {
   readonly #ctx: ProcessContext;
 
-  readonly #store: WatchedStore;
+  readonly #store: MonitoredStore;
 
-  readonly #config: ConfigWatch;
+  readonly #config: ConfigWatcher;
 
   readonly #gate: CallerGate;
 
@@ -64,8 +64,8 @@
     onWritten,
   }: {
     ctx: ProcessContext;
-    store: WatchedStore;
-    config: ConfigWatch;
+    store: MonitoredStore;
+    config: ConfigWatcher;
     gate: CallerGate;
     route: AcceptanceRoute;
     /** A row of a job is in the store; its feed may tell of it a second later. */
@@ -105,7 +105,7 @@
         if (own !== undefined) return { outcome: 'accepted', again: true };
         const newer = result.rows.find((row) => sameRow(row, this.#config.key));
         if (newer === undefined) await this.#config.refresh();
-        else this.#config.adopt(newer);
+        else this.#config.applyRow(newer);
         const next = await this.#gate.admit(call);
         // Earlier tries named the old configuration: they can't be done any more.
         if (next.outcome !== 'admitted') return next;
@@ -116,7 +116,7 @@
       detail = result.detail;
       if (result.outcome === 'unknown') maybeDone = true;
       else refusals += 1;
-      const mayWait = this.#store.isSlow && !this.#store.isAway;
+      const mayWait = this.#store.isSlow && !this.#store.isUnavailable;
       if (!maybeDone && refusals >= REFUSALS_TO_GIVE_UP && !mayWait) return this.#storeAway(detail);
       if (maybeDone && this.#isStoreAway()) break;
       await pause(this.#retryPauseMs());
@@ -152,7 +152,7 @@
   }
 
   #isStoreAway(): boolean {
-    return this.#store.isAway || this.#config.ageMs > STORE_SILENT_MS;
+    return this.#store.isUnavailable || this.#config.ageMs > STORE_SILENT_MS;
   }
 
   #storeAway(detail: string): CallRefusal {
--- a/packages/cell/src/entry/caller-gate.ts
+++ b/packages/cell/src/entry/caller-gate.ts
@@ -1,13 +1,13 @@
 /** Who calls what: the queue by host and path, the account by key, and whether this entry knows enough to say. */
 import {
-  accountOfKey,
+  findAccount,
   findQueue,
   type Account,
   type CellConfig,
   type Queue,
 } from '../config/cell-config.js';
 import { pause } from '../clock/pause.js';
-import type { ConfigWatch } from '../config/config-watch.js';
+import type { ConfigWatcher } from '../config/config-watcher.js';
 import type { CallRefusal } from './call-result.js';
 import { storeRetryMs } from './store-retry.js';
 
@@ -44,12 +44,12 @@
 
 /** Checks callers against the configuration. */
 export class CallerGate {
-  readonly #config: ConfigWatch;
+  readonly #config: ConfigWatcher;
 
   /** A key that was taken away must not be honoured for longer than this after the last confirmation, in ms. */
   readonly #staleAfterMs: number;
 
-  constructor({ config, staleAfterMs }: { config: ConfigWatch; staleAfterMs: number }) {
+  constructor({ config, staleAfterMs }: { config: ConfigWatcher; staleAfterMs: number }) {
     this.#config = config;
     this.#staleAfterMs = staleAfterMs;
   }
@@ -79,7 +79,7 @@
   }
 
   #check({ host, path, key }: CallerCall): Admitted | CallRefusal {
-    const { known } = this.#config;
+    const { current: known } = this.#config;
     if (known === undefined) {
       return notReady('No configuration is known here yet.', this.#config.ageMs);
     }
@@ -88,7 +88,7 @@
     }
     const queue = findQueue(known.config, host, path);
     if (queue === undefined) return { outcome: 'no-such-queue' };
-    const account = key === undefined ? undefined : accountOfKey(known.config, key);
+    const account = key === undefined ? undefined : findAccount(known.config, key);
     if (account === undefined && !queue.isPublic) return { outcome: 'not-authenticated' };
     const { config, rowVersion } = known;
     const rest = path.slice(queue.pathPrefix.length);
--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -2,14 +2,14 @@
 import type { Handlers, ProcessContext } from '@zincspan/core';
 import { LinkServer, type Link } from '@zincspan/link';
 import type { Advisor } from '../advice/advisor.js';
-import { ConfigWatch, type ConfigSource } from '../config/config-watch.js';
+import { ConfigWatcher, type ConfigSource } from '../config/config-watcher.js';
 import { LINK_HEARTBEAT } from '../guard/owner-link.js';
 import { JOB_TABLE } from '../job/job-rows.js';
 import { CellOwner, notOwner, type EvacuationBounds } from '../owner/cell-owner.js';
 import { Ownership } from '../owner/ownership.js';
 import type { ReclaimBounds } from '../owner/pass-input.js';
 import type { Row, RowStore } from '../store/row-store.js';
-import { WatchedStore } from '../store/watched-store.js';
+import { MonitoredStore } from '../store/monitored-store.js';
 import { AcceptanceRoute } from './acceptance-route.js';
 import { CallerGate } from './caller-gate.js';
 import { JobCalls, STORE_AWAY_MS } from './job-calls.js';
@@ -54,7 +54,7 @@
 
   readonly #options: EntryAppOptions;
 
-  readonly #config: ConfigWatch;
+  readonly #config: ConfigWatcher;
 
   readonly #jobs: JobLookup;
 
@@ -74,10 +74,10 @@
 
   constructor(options: EntryAppOptions) {
     const { ctx } = options;
-    const store = new WatchedStore({ store: options.store, clock: ctx.clock });
+    const store = new MonitoredStore({ store: options.store, clock: ctx.clock });
     this.#options = { ...options, store };
     const { configSource, linkAddress, linkKey, processorShare, revokeMs, configApplyMs } = options;
-    this.#config = new ConfigWatch({ ctx, store, source: configSource, applyMs: configApplyMs });
+    this.#config = new ConfigWatcher({ ctx, store, source: configSource, applyMs: configApplyMs });
     this.#jobs = new JobLookup({ ctx, store });
     this.#gate = new CallerGate({ config: this.#config, staleAfterMs: STALE_SHARE * revokeMs });
     const waiting = new WaitingCount({
@@ -181,7 +181,7 @@
       reclaim,
       evacuation,
       keepEndedMs,
-      config: () => this.#config.known?.config,
+      config: () => this.#config.current?.config,
       configKey: this.#config.key,
       confirmedAt: () => this.#ownership.held?.confirmedAt ?? -Infinity,
       transact: (tx, callOptions) => this.#ownership.transact(tx, callOptions),
--- a/packages/cell/src/entry/job-calls.ts
+++ b/packages/cell/src/entry/job-calls.ts
@@ -1,11 +1,11 @@
 /** Callers' calls: a job is accepted, shown and cancelled here, by any entry. */
 import type { ForwardedCall, ForwardedResult, ProcessContext } from '@zincspan/core';
 import type * as z from 'zod';
-import type { ConfigWatch } from '../config/config-watch.js';
+import type { ConfigWatcher } from '../config/config-watcher.js';
 import { jobState } from '../job/job-view.js';
 import { graphFault, jobRequestSchema, type JobRequest } from '../job/submission.js';
 import type { Row } from '../store/row-store.js';
-import type { WatchedStore } from '../store/watched-store.js';
+import type { MonitoredStore } from '../store/monitored-store.js';
 import { Acceptance, outcomeUnknown, storeAway } from './acceptance.js';
 import type { AcceptanceRoute } from './acceptance-route.js';
 import {
@@ -49,8 +49,8 @@
 /** What the calls are made of. */
 export interface JobCallsOptions {
   ctx: ProcessContext;
-  store: WatchedStore;
-  config: ConfigWatch;
+  store: MonitoredStore;
+  config: ConfigWatcher;
   gate: CallerGate;
   jobs: JobLookup;
   /** How many jobs of a queue wait; undefined if nobody could tell in time. */
@@ -157,7 +157,7 @@
   /** Serves a call that another entry passed on, and says by which configuration. */
   async serveForwarded(call: ForwardedCall): Promise<ForwardedResult> {
     const result = await this.#serveForwarded(call);
-    const configVersion = this.#options.config.known?.config.version;
+    const configVersion = this.#options.config.current?.config.version;
     return { ...result, ...(configVersion === undefined ? {} : { configVersion }) };
   }
 
@@ -197,7 +197,7 @@
     const { ageMs } = config;
     if (ageMs > STORE_AWAY_MS) return storeAway('no read was answered lately', ageMs);
     // Nothing is sent that might be carried out unseen; the reads of the configuration go on and find it again.
-    if (store.isAway) return storeAway('its last calls all failed', ageMs);
+    if (store.isUnavailable) return storeAway('its last calls all failed', ageMs);
     return this.#acceptance.accept({ call, admitted, id, job: decoded.job, until });
   }
 
@@ -250,7 +250,7 @@
           const { configVersion, ...result } = await answer;
           const parsed = schema.parse(result);
           // What this one answers later mustn't be by an older one.
-          if (configVersion !== undefined) this.#options.config.noteSeen(configVersion);
+          if (configVersion !== undefined) this.#options.config.noteSeenVersion(configVersion);
           return parsed;
         } catch (err) {
           const { ctx, config } = this.#options;
@@ -268,7 +268,7 @@
   #log<const T extends { outcome: string }>(what: string, { path }: CallerCall, result: T): T {
     const { ctx, config } = this.#options;
     ctx.metrics.count(`call.${what}.${result.outcome}`);
-    const version = config.known?.config.version;
+    const version = config.current?.config.version;
     const configAgeMs = Math.round(Math.min(config.ageMs, Number.MAX_SAFE_INTEGER));
     const id = path.slice(path.lastIndexOf('/') + 1);
     ctx.log.info(
--- a/packages/cell/src/owner/acceptance-queue.feature
+++ b/packages/cell/src/owner/acceptance-queue.feature
@@ -1,55 +1,55 @@
-Feature: submissions that go along with the owner's next write
+Feature: submissions in the owner's next write
 
   Background:
-    Given a submission that was let through by version 5 of the configuration, and 500 ms to send it
+    Given a submission that was admitted under version 5 of the configuration, to be sent within 500 ms
 
-  Scenario Outline: what its entry is told of a write that had it
-    When the write that has it <comes to>
-    Then its entry is told <told>
+  Scenario Outline: the result that the entry gets from a write with its submission
+    When the write with it <write>
+    Then its entry gets <result>
 
     Examples:
-      | comes to                                      | told           |
-      | is done                                       | done           |
-      | finds the job there                           | exists         |
-      | finds version 6 of the configuration          | config-changed |
+      | write                                | result         |
+      | is committed                         | done           |
+      | finds that the job exists            | exists         |
+      | finds version 6 of the configuration | config-changed |
 
-  Scenario Outline: a write that settles nothing is followed by another
-    When the write that has it <comes to>
-    Then its entry is told nothing yet
-    When the write that has it is done
-    Then its entry is told done
+  Scenario Outline: a submission without a result goes into the next write
+    When the write with it <write>
+    Then its entry gets no result yet
+    When the write with it is committed
+    Then its entry gets done
 
     Examples:
-      | comes to             |
-      | finds other progress |
-      | is refused           |
-      | isn't answered       |
+      | write                         |
+      | conflicts with other progress |
+      | is refused                    |
+      | isn't answered                |
 
-  Scenario Outline: what wasn't settled in time is surely undone only if each write of it was refused
-    When the write that has it <comes to>
+  Scenario Outline: a submission without a result in time counts as refused only if none of its writes may have been committed
+    When the write with it <write>
     And <the end> before the next one
-    Then its entry is told <told>
+    Then its entry gets <result>
 
     Examples:
-      | comes to             | the end             | told    |
-      | is refused           | 600 ms pass         | refused |
-      | finds other progress | 600 ms pass         | refused |
-      | isn't answered       | 600 ms pass         | unknown |
-      | isn't answered       | the term ends       | unknown |
-      | is refused           | the term ends       | refused |
-
-  Scenario: one that was let through by an older configuration isn't sent
-    Given another one that was let through by version 6
+      | write                         | the end       | result  |
+      | is refused                    | 600 ms pass   | refused |
+      | conflicts with other progress | 600 ms pass   | refused |
+      | isn't answered                | 600 ms pass   | unknown |
+      | isn't answered                | the term ends | unknown |
+      | is refused                    | the term ends | refused |
+
+  Scenario: a submission that was admitted under an older configuration isn't sent
+    Given another one that was admitted under version 6
     When the next write is made
-    Then its entry is told config-changed
-    And the write has the other one only
+    Then its entry gets config-changed
+    And the write contains only the other one
 
-  Scenario: one job that two entries have handed over goes once in a write
-    Given the same one handed over by another entry
+  Scenario: a job that two entries have sent is only once in a write
+    Given the same one sent by another entry
     When the next write is made
-    Then the write has 1
+    Then the write contains 1 of them
 
-  Scenario: more than a write takes wait for the next one
-    Given 12 others beside it
+  Scenario: submissions beyond the limit of a write wait for the next one
+    Given 12 other submissions beside it
     When the next write is made
-    Then the write has 10
+    Then the write contains 10 of them
--- a/packages/cell/src/owner/acceptance-queue.steps.ts
+++ b/packages/cell/src/owner/acceptance-queue.steps.ts
@@ -3,104 +3,108 @@
 import type { AcceptanceResult } from '@zincspan/core';
 import { jobRowKey } from '../job/job-rows.js';
 import type { TransactResult } from '../store/row-store.js';
-import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
+import { AcceptanceQueue, type QueuedAcceptance } from './acceptance-queue.js';
 
-interface QueueSteps {
+interface AcceptanceQueueWorld {
   queue: AcceptanceQueue;
   now: number;
-  taken: HandedAcceptance[];
-  /** Answers to the first one. */
-  told: AcceptanceResult['outcome'][];
+  batch: QueuedAcceptance[];
+  /** Outcomes reported for the first submission. */
+  outcomes: AcceptanceResult['outcome'][];
 }
 
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
 const CONFIG_VERSION = 5;
 const JOB_ID = '0000000000000001';
 const VALUE = Buffer.from('a submission');
-const IN_FORCE = { ...CONFIG_KEY, value: VALUE, version: CONFIG_VERSION };
+const CONFIG_ROW = { ...CONFIG_KEY, value: VALUE, version: CONFIG_VERSION };
 
-const RESULTS: Record<string, TransactResult> = {
-  'is done': { outcome: 'done', version: 9 },
-  'finds the job there': {
+const WRITE_RESULTS: Record<string, TransactResult> = {
+  'is committed': { outcome: 'done', version: 9 },
+  'finds that the job exists': {
     outcome: 'conflict',
-    rows: [{ ...jobRowKey(JOB_ID, 'submission'), value: VALUE, version: 7 }, IN_FORCE],
+    rows: [{ ...jobRowKey(JOB_ID, 'submission'), value: VALUE, version: 7 }, CONFIG_ROW],
   },
   'finds version 6 of the configuration': {
     outcome: 'conflict',
-    rows: [{ ...IN_FORCE, version: 6 }],
+    rows: [{ ...CONFIG_ROW, version: 6 }],
   },
-  'finds other progress': { outcome: 'conflict', rows: [IN_FORCE] },
+  'conflicts with other progress': { outcome: 'conflict', rows: [CONFIG_ROW] },
   'is refused': { outcome: 'refused', detail: 'too many' },
   "isn't answered": { outcome: 'unknown', detail: 'no answer' },
 };
 
-function add(world: QueueSteps, jobId: string, configVersion: number): Promise<AcceptanceResult> {
+function add(
+  world: AcceptanceQueueWorld,
+  jobId: string,
+  configVersion: number,
+): Promise<AcceptanceResult> {
   return world.queue.add({ jobId, value: VALUE, configVersion, timeoutMs: 500 });
 }
 
 Given(
-  'a submission that was let through by version 5 of the configuration, and 500 ms to send it',
-  function (this: QueueSteps) {
+  'a submission that was admitted under version 5 of the configuration, to be sent within 500 ms',
+  function (this: AcceptanceQueueWorld) {
     this.now = 0;
-    this.told = [];
+    this.outcomes = [];
     this.queue = new AcceptanceQueue(() => this.now);
-    void add(this, JOB_ID, CONFIG_VERSION).then(({ outcome }) => this.told.push(outcome));
+    void add(this, JOB_ID, CONFIG_VERSION).then(({ outcome }) => this.outcomes.push(outcome));
   },
 );
 
-Given('another one that was let through by version 6', function (this: QueueSteps) {
+Given('another one that was admitted under version 6', function (this: AcceptanceQueueWorld) {
   void add(this, '0000000000000002', CONFIG_VERSION + 1);
 });
 
-Given('the same one handed over by another entry', function (this: QueueSteps) {
+Given('the same one sent by another entry', function (this: AcceptanceQueueWorld) {
   void add(this, JOB_ID, CONFIG_VERSION);
 });
 
-Given('{int} others beside it', function (this: QueueSteps, count: number) {
+Given('{int} other submissions beside it', function (this: AcceptanceQueueWorld, count: number) {
   for (let each = 0; each < count; each++) void add(this, `other-${each}`, CONFIG_VERSION);
 });
 
-When('the next write is made', function (this: QueueSteps) {
-  this.taken = this.queue.take();
+When('the next write is made', function (this: AcceptanceQueueWorld) {
+  this.batch = this.queue.take();
 });
 
-When(/^the write that has it (.+)$/, function (this: QueueSteps, what: string) {
-  const result = RESULTS[what];
+When(/^the write with it (.+)$/, function (this: AcceptanceQueueWorld, what: string) {
+  const result = WRITE_RESULTS[what];
   assert.ok(result !== undefined);
   const taken = this.queue.take();
   assert.equal(taken.length, 1);
   this.queue.settle(taken, result, CONFIG_KEY);
 });
 
-When('600 ms pass before the next one', function (this: QueueSteps) {
+When('600 ms pass before the next one', function (this: AcceptanceQueueWorld) {
   this.now += 600;
   assert.deepEqual(this.queue.take(), []);
 });
 
-When('the term ends before the next one', function (this: QueueSteps) {
+When('the term ends before the next one', function (this: AcceptanceQueueWorld) {
   this.queue.close();
 });
 
-Then('its entry is told nothing yet', function (this: QueueSteps) {
-  assert.deepEqual(this.told, []);
+Then('its entry gets no result yet', function (this: AcceptanceQueueWorld) {
+  assert.deepEqual(this.outcomes, []);
   assert.ok(!this.queue.isEmpty);
 });
 
 Then(
-  /^its entry is told (done|exists|config-changed|refused|unknown)$/,
-  function (this: QueueSteps, outcome: string) {
-    assert.deepEqual(this.told, [outcome]);
-    assert.ok(this.queue.isEmpty || this.taken.length > 0);
+  /^its entry gets (done|exists|config-changed|refused|unknown)$/,
+  function (this: AcceptanceQueueWorld, outcome: string) {
+    assert.deepEqual(this.outcomes, [outcome]);
+    assert.ok(this.queue.isEmpty || this.batch.length > 0);
   },
 );
 
-Then('the write has the other one only', function (this: QueueSteps) {
+Then('the write contains only the other one', function (this: AcceptanceQueueWorld) {
   assert.deepEqual(
-    this.taken.map(({ configVersion }) => configVersion),
+    this.batch.map(({ configVersion }) => configVersion),
     [CONFIG_VERSION + 1],
   );
 });
 
-Then('the write has {int}', function (this: QueueSteps, count: number) {
-  assert.equal(this.taken.length, count);
+Then('the write contains {int} of them', function (this: AcceptanceQueueWorld, count: number) {
+  assert.equal(this.batch.length, count);
 });
--- a/packages/cell/src/owner/acceptance-queue.ts
+++ b/packages/cell/src/owner/acceptance-queue.ts
@@ -1,31 +1,31 @@
 /**
- * Submissions that entries hand to the owner while the store is slow: they go along with the owner's next write, so that they take
- * no turn of their own there.
+ * Queue of job submissions that entries send to the owner while the store is slow. They become part of the owner's next write, so
+ * that they need no transaction of their own.
  */
 import type { AcceptanceCall, AcceptanceResult } from '@zincspan/core';
 import { jobRowKey } from '../job/job-rows.js';
 import { sameRow, type Row, type RowKey, type TransactResult } from '../store/row-store.js';
 
-/** Submissions in one write: two entries each, beside the configuration's row. */
-export const ACCEPTANCES_PER_WRITE = 10;
+/** Submissions per write. Each takes two entries of the transaction, in addition to the configuration row. */
+export const MAX_ACCEPTANCES_PER_WRITE = 10;
 
-/** One that waits. */
-export interface HandedAcceptance {
+/** A submission that waits for the owner's next write. */
+export interface QueuedAcceptance {
   key: RowKey;
   value: Buffer;
   configVersion: number;
-  /** It isn't sent after this moment, on the monotonic clock, in ms. */
-  until: number;
-  /** A write that had it may have been done. */
-  maybeDone: boolean;
+  /** Not sent after this time (monotonic clock, in ms). */
+  deadline: number;
+  /** True if an earlier write that contained it may have been committed. */
+  mayBeCommitted: boolean;
   answer: (result: AcceptanceResult) => void;
 }
 
-/** Of one term. */
+/** Queues submissions for one term of the owner. */
 export class AcceptanceQueue {
   readonly #now: () => number;
 
-  #waiting: HandedAcceptance[] = [];
+  #queued: QueuedAcceptance[] = [];
 
   #closed = false;
 
@@ -34,87 +34,88 @@
   }
 
   get isEmpty(): boolean {
-    return this.#waiting.length === 0;
+    return this.#queued.length === 0;
   }
 
   add({ jobId, value, configVersion, timeoutMs }: AcceptanceCall): Promise<AcceptanceResult> {
     return new Promise((resolve) => {
-      this.#putBack([
+      this.#enqueue([
         {
           key: jobRowKey(jobId, 'submission'),
           value: Buffer.from(value),
           configVersion,
-          until: this.#now() + timeoutMs,
-          maybeDone: false,
+          deadline: this.#now() + timeoutMs,
+          mayBeCommitted: false,
           answer: resolve,
         },
       ]);
     });
   }
 
-  /** Those of the next write: by one configuration, the newest, and none that comes too late. */
-  take(): HandedAcceptance[] {
-    this.#drop(({ until }) => until <= this.#now(), unsent('the time for it is over'));
-    const newest = Math.max(...this.#waiting.map(({ configVersion }) => configVersion));
-    this.#drop(({ configVersion }) => configVersion < newest, { outcome: 'config-changed' });
-    // Two entries may hand the same job over, and a transaction may name a row once: the second one finds it there.
-    const isFirst = ({ key }: HandedAcceptance, index: number): boolean =>
-      this.#waiting.findIndex((other) => sameRow(other.key, key)) === index;
-    const taken = this.#waiting.filter(isFirst).slice(0, ACCEPTANCES_PER_WRITE);
-    this.#waiting = this.#waiting.filter((each) => !taken.includes(each));
+  /** Removes and returns the submissions for the next write: only unexpired ones that were admitted under the newest configuration. */
+  take(): QueuedAcceptance[] {
+    this.#drop(({ deadline }) => deadline <= this.#now(), refusal('not sent before its deadline'));
+    const newestVersion = Math.max(...this.#queued.map(({ configVersion }) => configVersion));
+    this.#drop(({ configVersion }) => configVersion < newestVersion, { outcome: 'config-changed' });
+    // Two entries may send the same job, but a transaction may contain a row only once. The second waits and then finds the job's row.
+    const isFirstOfJob = ({ key }: QueuedAcceptance, index: number): boolean =>
+      this.#queued.findIndex((other) => sameRow(other.key, key)) === index;
+    const taken = this.#queued.filter(isFirstOfJob).slice(0, MAX_ACCEPTANCES_PER_WRITE);
+    this.#queued = this.#queued.filter((queued) => !taken.includes(queued));
     return taken;
   }
 
-  /** Answers those that the write has settled; the others wait for the next one. */
-  settle(taken: readonly HandedAcceptance[], result: TransactResult, configKey: RowKey): void {
-    taken.forEach((each) => {
-      const settled = settledBy(each, result, configKey);
-      const maybeDone = each.maybeDone || result.outcome === 'unknown';
-      if (settled === undefined) this.#putBack([{ ...each, maybeDone }]);
-      else each.answer(settled);
+  /** Answers the submissions whose outcome the write determined and queues the others again. */
+  settle(taken: readonly QueuedAcceptance[], result: TransactResult, configKey: RowKey): void {
+    taken.forEach((acceptance) => {
+      const ownResult = resultOfWrite(acceptance, result, configKey);
+      const mayBeCommitted = acceptance.mayBeCommitted || result.outcome === 'unknown';
+      if (ownResult === undefined) this.#enqueue([{ ...acceptance, mayBeCommitted }]);
+      else acceptance.answer(ownResult);
     });
   }
 
-  /** Another entry takes the cell: nothing more is sent. */
+  /** The owner's term has ended: answers what is queued and sends nothing more. */
   close(): void {
     this.#closed = true;
-    this.#drop(() => true, unsent('the cell has another owner'));
+    this.#drop(() => true, refusal("the owner's term has ended"));
   }
 
-  #putBack(acceptances: readonly HandedAcceptance[]): void {
-    this.#waiting.push(...acceptances);
+  #enqueue(acceptances: readonly QueuedAcceptance[]): void {
+    this.#queued.push(...acceptances);
     if (this.#closed) this.close();
   }
 
   #drop(
-    isDropped: (each: HandedAcceptance) => boolean,
+    matches: (acceptance: QueuedAcceptance) => boolean,
     { outcome, detail = '' }: { outcome: 'config-changed' | 'refused'; detail?: string },
   ): void {
-    const dropped = this.#waiting.filter(isDropped);
-    this.#waiting = this.#waiting.filter((each) => !dropped.includes(each));
-    dropped.forEach(({ maybeDone, answer }) => {
-      if (maybeDone) answer({ outcome: 'unknown', detail: 'a write of it was not answered' });
+    const dropped = this.#queued.filter(matches);
+    this.#queued = this.#queued.filter((acceptance) => !dropped.includes(acceptance));
+    dropped.forEach(({ mayBeCommitted, answer }) => {
+      if (mayBeCommitted)
+        answer({ outcome: 'unknown', detail: 'an earlier write was not confirmed' });
       else if (outcome === 'refused') answer({ outcome, detail });
       else answer({ outcome });
     });
   }
 }
 
-function unsent(detail: string): { outcome: 'refused'; detail: string } {
+function refusal(detail: string): { outcome: 'refused'; detail: string } {
   return { outcome: 'refused', detail };
 }
 
-/** Undefined if it has to be sent again. */
-function settledBy(
-  each: HandedAcceptance,
+/** The result for one submission of the write; undefined if it has to be sent again. */
+function resultOfWrite(
+  acceptance: QueuedAcceptance,
   result: TransactResult,
   configKey: RowKey,
 ): AcceptanceResult | undefined {
   if (result.outcome === 'done') return { outcome: 'done', version: result.version };
   if (result.outcome !== 'conflict') return undefined;
-  const find = (key: RowKey): Row | undefined => result.rows.find((row) => sameRow(row, key));
-  if (find(each.key) !== undefined) return { outcome: 'exists' };
-  // What was sent by this configuration can't be done any more.
-  const isInForce = (find(configKey)?.version ?? 0) === each.configVersion;
-  return isInForce ? undefined : { outcome: 'config-changed' };
+  const findRow = (key: RowKey): Row | undefined => result.rows.find((row) => sameRow(row, key));
+  if (findRow(acceptance.key) !== undefined) return { outcome: 'exists' };
+  // Once another configuration is in force, earlier writes under the old one can no longer be committed.
+  const isConfigCurrent = (findRow(configKey)?.version ?? 0) === acceptance.configVersion;
+  return isConfigCurrent ? undefined : { outcome: 'config-changed' };
 }
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -12,7 +12,7 @@
   type RowStore,
   type Transaction,
 } from '../store/row-store.js';
-import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
+import { AcceptanceQueue, type QueuedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
 import { OWNER_KEY } from './owner-row.js';
 import { pause } from '../clock/pause.js';
@@ -65,7 +65,7 @@
 interface Batch {
   jobs: readonly Pending[];
   startsIn: readonly string[];
-  acceptances: readonly HandedAcceptance[];
+  acceptances: readonly QueuedAcceptance[];
   sentAt: number;
 }
 
@@ -228,13 +228,13 @@
     };
   }
 
-  #noteAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
+  #noteAccepted(acceptances: readonly QueuedAcceptance[], version: number): void {
     if (acceptances.length === 0) return;
     this.#events.onAccepted(acceptances.map(({ key, value }) => ({ ...key, value, version })));
   }
 
   /** As for one that an entry writes itself: the configuration that let it through, and no job of this id. */
-  #expectedBy([first, ...others]: readonly HandedAcceptance[]): Transaction['expected'] {
+  #expectedBy([first, ...others]: readonly QueuedAcceptance[]): Transaction['expected'] {
     if (first === undefined) return [];
     const config = { ...this.#configKey, version: first.configVersion };
     return [config, ...[first, ...others].map(({ key }) => ({ ...key, version: 0 }))];
--- a/packages/cell/src/store/table-follower.ts
+++ b/packages/cell/src/store/table-follower.ts
@@ -1,46 +1,46 @@
-/** Reads a whole table once, then follows its feed; reads it anew when the history is gone. */
+/** Reads a whole table, then follows its change feed; reads it again if the store has dropped the feed's history. */
 import type { ProcessContext } from '@zincspan/core';
 import type { FeedRow, RowStore } from './row-store.js';
 import { pause } from '../clock/pause.js';
 
 /**
- * How long a feed call waits for a change, in ms. Short, as a connection may go silent without an error, and a job whose entry
- * has no link to the owner waits meanwhile; a call costs the platform less than a hundredth of what a late urgent job does.
+ * Longest wait of a feed call for a change, in ms. Short, because a connection may die without an error, and jobs of an entry without
+ * a link to the owner wait meanwhile. A call costs the platform less than a hundredth of what a late urgent job does.
  */
 const FEED_WAIT_MS = 800;
 
-/** Beyond its wait, a feed call may take this long, in ms: twice what a store sixty times slower than usual takes. */
-const FEED_SLACK_MS = 600;
+/** Added to a feed call's wait for its timeout, in ms: twice the answer time of a store that is sixty times slower than usual. */
+const FEED_TIMEOUT_MARGIN_MS = 600;
 
-/** A page of a table may take this long, in ms. */
-const READ_TIMEOUT_MS = 2500;
+/** Timeout for reading one page of a table, in ms. */
+const PAGE_TIMEOUT_MS = 2500;
 
-/** Pause after a failed call, in ms. */
-const RETRY_PAUSE_MS = 150;
+/** Delay after a failed call, in ms. */
+const RETRY_DELAY_MS = 150;
 
 /**
- * Pause before the feed is asked again, in ms: a busy cell changes dozens of rows a second, which come together so. What is
- * urgent is told over links.
+ * Delay between feed calls, in ms. A busy cell changes dozens of rows a second, and the delay batches them; urgent changes are sent
+ * over links.
  */
-const FEED_PAUSE_MS = 100;
+const FEED_INTERVAL_MS = 100;
 
-/** Told the rows of each page and of each change, in order of their versions within one row. */
+/** `onRows` receives the rows of the table and of each change; versions of the same row arrive in order. */
 export interface TableFollowerOptions {
   ctx: ProcessContext;
   store: RowStore;
   table: string;
   onRows: (rows: FeedRow[]) => void;
-  /** The whole table was read for the first time. */
+  /** Called once, after the whole table has been read for the first time. */
   onLoaded: (rows: number) => void;
 }
 
-/** Follows one table (its empty part is read at first; the feed tells of all parts). */
+/** Follows one table. The initial read covers only its empty part; the feed covers all parts. */
 export class TableFollower {
   readonly #options: TableFollowerOptions;
 
-  #loaded = false;
+  #isLoaded = false;
 
-  #after = 0;
+  #lastVersion = 0;
 
   #stopped = false;
 
@@ -57,54 +57,57 @@
   }
 
   async #run(): Promise<void> {
-    let current = false;
+    let canFollow = false;
     while (!this.#stopped) {
-      current = current ? await this.#follow() : await this.#load();
+      canFollow = canFollow ? await this.#follow() : await this.#load();
     }
   }
 
-  /** Reads all pages. True if the feed may be followed from there. */
+  /** Reads all pages. Returns true if the feed can be followed from there. */
   async #load(): Promise<boolean> {
     const { store, table } = this.#options;
-    const read = await readTable(store, table, { timeoutMs: READ_TIMEOUT_MS });
+    const read = await readTable(store, table, { timeoutMs: PAGE_TIMEOUT_MS });
     if (this.#stopped) return false;
     if (read === undefined) {
-      await pause(RETRY_PAUSE_MS);
+      await pause(RETRY_DELAY_MS);
       return false;
     }
     this.#options.onRows(read.rows);
-    this.#after = read.version;
-    if (!this.#loaded) this.#options.onLoaded(read.rows.length);
-    this.#loaded = true;
+    this.#lastVersion = read.version;
+    if (!this.#isLoaded) this.#options.onLoaded(read.rows.length);
+    this.#isLoaded = true;
     return true;
   }
 
-  /** Waits for changes once. False if the table has to be read anew. */
+  /** Makes one feed call. Returns false if the table must be read again. */
   async #follow(): Promise<boolean> {
     const { ctx, store, table } = this.#options;
     const result = await store.feed(
-      { table, after: this.#after, waitMs: FEED_WAIT_MS },
-      { timeoutMs: FEED_WAIT_MS + FEED_SLACK_MS },
+      { table, after: this.#lastVersion, waitMs: FEED_WAIT_MS },
+      { timeoutMs: FEED_WAIT_MS + FEED_TIMEOUT_MARGIN_MS },
     );
     if (result.outcome === 'forgotten') {
       ctx.metrics.count('feed.forgotten');
-      ctx.log.warn({ table, after: this.#after }, 'feed history gone, reading the table anew');
+      ctx.log.warn(
+        { table, after: this.#lastVersion },
+        'store has dropped the feed history; reading the table again',
+      );
       return false;
     }
     if (result.outcome === 'failed') {
       ctx.metrics.count('feed.failed');
-      await pause(RETRY_PAUSE_MS);
+      await pause(RETRY_DELAY_MS);
       return true;
     }
     if (this.#stopped) return false;
-    this.#after = Math.max(this.#after, result.version);
+    this.#lastVersion = Math.max(this.#lastVersion, result.version);
     if (result.rows.length > 0) this.#options.onRows(result.rows);
-    await pause(FEED_PAUSE_MS);
+    await pause(FEED_INTERVAL_MS);
     return true;
   }
 }
 
-/** All rows of a table's empty part and the version from which its feed goes on; undefined if a call failed. */
+/** Reads all rows of a table's empty part, and the version from which to follow its feed; undefined if a call failed. */
 export async function readTable(
   store: RowStore,
   table: string,
@@ -117,7 +120,7 @@
     const page = await store.read({ table, part: '', from }, options);
     if (page.outcome === 'failed') return undefined;
     rows.push(...page.rows.map((row) => ({ ...row, deleted: false })));
-    // Pages are of different moments: what changed after the first is told again by the feed.
+    // Pages are snapshots of different times. The feed repeats whatever changed after the first page.
     version ??= page.version;
     const last = page.rows.at(-1);
     if (!page.hasMore || last === undefined) return { rows, version };
