--- a/packages/cell/src/owner/acceptance-queue.ts
+++ b/packages/cell/src/owner/acceptance-queue.ts
@@ -93,8 +93,7 @@
     const dropped = this.#queued.filter(matches);
     this.#queued = this.#queued.filter((acceptance) => !dropped.includes(acceptance));
     dropped.forEach(({ mayBeCommitted, answer }) => {
-      if (mayBeCommitted)
-        answer({ outcome: 'unknown', detail: 'an earlier write was not confirmed' });
+      if (mayBeCommitted) answer({ outcome: 'unknown', detail: 'a write was not confirmed' });
       else if (outcome === 'refused') answer({ outcome, detail });
       else answer({ outcome });
     });
