--- a/packages/cell/src/entry/call-result.ts
+++ b/packages/cell/src/entry/call-result.ts
@@ -1,26 +1,26 @@
-/** What a caller is told, before any wire format. */
+/** Results of callers' calls, independent of the wire format. */
 import * as z from 'zod';
 
 const retryAfterMs = z.number();
 const detail = z.string();
 
-/** Why a call wasn't served. Where the job wasn't accepted, it never runs. */
+/** Reasons for not serving a call. A job that was not accepted never runs. */
 const refusalSchemas = [
-  /** No configuration is known here yet, or it is too old to answer by. */
+  /** This entry has no configuration yet, or the one it has is too old to use. */
   z.strictObject({ outcome: z.literal('not-ready'), retryAfterMs, detail }),
   z.strictObject({ outcome: z.literal('no-such-queue') }),
   z.strictObject({ outcome: z.literal('not-authenticated') }),
   z.strictObject({ outcome: z.literal('bad-input'), detail }),
-  /** Surely not accepted; another try makes sense after this time. */
+  /** Certainly not accepted; the caller may retry after this time. */
   z.strictObject({ outcome: z.literal('not-accepted'), retryAfterMs, detail }),
-  /** It isn't known whether it was accepted: the caller asks again with the same id after this time. */
+  /** It is not known whether the job was accepted; the caller retries with the same id after this time. */
   z.strictObject({ outcome: z.literal('unknown'), retryAfterMs, detail }),
 ] as const;
 
 export const callRefusalSchema = z.discriminatedUnion('outcome', refusalSchemas);
 export type CallRefusal = z.infer<typeof callRefusalSchema>;
 
-/** `again`: it was accepted before. */
+/** `again`: the job had already been accepted. */
 export const submitResultSchema = z.discriminatedUnion('outcome', [
   z.strictObject({ outcome: z.literal('accepted'), again: z.boolean() }),
   ...refusalSchemas,
--- a/packages/cell/src/entry/config-order.steps.ts
+++ b/packages/cell/src/entry/config-order.steps.ts
@@ -4,56 +4,59 @@
 import { cellOf, otherEntry, type CellSteps, type Entry } from '../owner/cell-steps.support.js';
 import { HOST, KEY, TEST_QUEUE } from '../testing/test-jobs.support.js';
 
-interface OrderSteps extends CellSteps {
+interface ConfigOrderWorld extends CellSteps {
   entry: Entry;
-  goOn: () => void;
+  resumeReads: () => void;
   served: boolean[];
 }
 
-const JOB = '00000000000000ff';
+const JOB_ID = '00000000000000ff';
 const NEW_PREFIX = '/reels/';
 
-/** Between the two calls, in ms: longer than an entry may take to show that it went back. */
-const BETWEEN_MS = 300;
+/** Interval between the calls, in ms; long enough for an entry to show that it went back to the older configuration. */
+const CALL_INTERVAL_MS = 300;
 
 /** True if the entry knew the queue. */
-async function isServed({ entry }: OrderSteps, prefix: string): Promise<boolean> {
-  const call = { host: HOST, path: `${prefix}${JOB}`, key: KEY };
-  const { outcome } = await entry.app.calls.state(call);
+async function isServed({ entry }: ConfigOrderWorld, prefix: string): Promise<boolean> {
+  const call = { host: HOST, path: `${prefix}${JOB_ID}`, key: KEY };
+  const { outcome } = await entry.app.jobApi.state(call);
   return outcome !== 'no-such-queue' && outcome !== 'not-ready';
 }
 
-Given('an entry whose reads of the configuration wait', async function (this: OrderSteps) {
-  this.entry = otherEntry(this);
-  const { store } = this.entry;
-  const read = store.read.bind(store);
-  const isOn = new Promise<void>((resolve) => {
-    this.goOn = resolve;
-  });
-  store.read = async (range, options) => {
-    if (range.table === 'operator') await isOn;
-    return read(range, options);
-  };
-  // A read that was on its way has been answered by then.
-  await pause(BETWEEN_MS);
-});
+Given(
+  'an entry whose reads of the configuration are paused',
+  async function (this: ConfigOrderWorld) {
+    this.entry = otherEntry(this);
+    const { store } = this.entry;
+    const read = store.read.bind(store);
+    const readsResumed = new Promise<void>((resolve) => {
+      this.resumeReads = resolve;
+    });
+    store.read = async (range, options) => {
+      if (range.table === 'operator') await readsResumed;
+      return read(range, options);
+    };
+    // Any earlier read has been answered by then.
+    await pause(CALL_INTERVAL_MS);
+  },
+);
 
-When('the operator puts another queue in place of the first', function (this: OrderSteps) {
+When('the operator replaces the first queue with another one', function (this: ConfigOrderWorld) {
   cellOf(this).configure({ queues: [{ ...TEST_QUEUE, name: 'reels', pathPrefix: NEW_PREFIX }] });
 });
 
 When(
-  'a call for the new queue is made there, and 0.3 s later one for the old queue, and the reads go on',
-  async function (this: OrderSteps) {
+  'a call for the new queue arrives there, 0.3 s later one for the old queue, and then the reads resume',
+  async function (this: ConfigOrderWorld) {
     const first = isServed(this, NEW_PREFIX);
-    await pause(BETWEEN_MS);
+    await pause(CALL_INTERVAL_MS);
     const second = isServed(this, TEST_QUEUE.pathPrefix);
-    await pause(BETWEEN_MS);
-    this.goOn();
+    await pause(CALL_INTERVAL_MS);
+    this.resumeReads();
     this.served = await Promise.all([first, second]);
   },
 );
 
-Then('not both are served', function (this: OrderSteps) {
+Then('at most one of the calls is served', function (this: ConfigOrderWorld) {
   assert.notDeepEqual(this.served, [true, true]);
 });
--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -1,4 +1,4 @@
-/** The entry: callers' calls, and the ownership of the cell while it has it. */
+/** The entry process: serves callers' calls, and runs the cell's owner while this entry owns the cell. */
 import type { Handlers, ProcessContext } from '@zincspan/core';
 import { LinkServer, type Link } from '@zincspan/link';
 import type { Advisor } from '../advice/advisor.js';
@@ -10,55 +10,54 @@
 import type { ReclaimBounds } from '../owner/pass-input.js';
 import type { Row, RowStore } from '../store/row-store.js';
 import { MonitoredStore } from '../store/monitored-store.js';
-import { AcceptanceRoute } from './acceptance-route.js';
-import { CallerGate } from './caller-gate.js';
-import { JobCalls, STORE_AWAY_MS } from './job-calls.js';
+import { SubmissionRouter } from './submission-router.js';
+import { CallAdmission } from './call-admission.js';
+import { JobApi, STORE_DOWN_AFTER_MS } from './job-api.js';
 import { JobLookup } from './job-lookup.js';
-import { SuccessorList } from './owner-status.js';
+import { SuccessorList } from './successor-list.js';
 import { PeerEntries } from './peer-entries.js';
-import { WaitingCount } from './waiting-count.js';
+import { WaitingJobCounter } from './waiting-job-counter.js';
 
 /**
- * Share of the time within which a taken key must stop working after which an entry without a sound way to the store
- * refuses its callers: they are served better by another one.
+ * Fraction of `revokeMs`, the time within which a revoked key must stop working, after which an entry that cannot confirm its
+ * configuration refuses its callers. Another entry serves them better.
  */
-const STALE_SHARE = 0.5;
+const STALE_FRACTION = 0.5;
 
-/** What an entry is made of. */
 export interface EntryAppOptions {
   ctx: ProcessContext;
   store: RowStore;
   configSource: ConfigSource;
-  /** Without one, queues that need advice refuse what is handed in. */
+  /** Without an advisor, queues that need advice refuse submissions. */
   advisor?: Advisor | undefined;
-  /** Address for links from guards. */
+  /** Listen address for links from guards and other entries. */
   linkAddress: string;
   linkKey: string;
-  /** Cores that this process may use. */
+  /** CPU cores that this process may use. */
   processorShare: number;
-  /** Longest authority that a contact may give, in ms. */
+  /** Longest lease that a contact may grant, in ms. */
   leaseMs: number;
   reclaim: ReclaimBounds;
   evacuation: EvacuationBounds;
-  /** Ended jobs are shown for this long, in ms. */
+  /** Retention time of ended jobs, in ms. */
   keepEndedMs: number;
-  /** A key that was taken away must not work any more after this long, in ms. */
+  /** Time within which a revoked key must stop working, in ms. */
   revokeMs: number;
-  /** A change of the configuration has to be in force within this time, in ms. */
+  /** Time within which a configuration change must take effect, in ms. */
   configApplyMs: number;
 }
 
-/** One entry. */
+/** One entry of the cell. */
 export class EntryApp {
-  readonly calls: JobCalls;
+  readonly jobApi: JobApi;
 
   readonly #options: EntryAppOptions;
 
   readonly #config: ConfigWatcher;
 
-  readonly #jobs: JobLookup;
+  readonly #jobLookup: JobLookup;
 
-  readonly #gate: CallerGate;
+  readonly #admission: CallAdmission;
 
   readonly #ownership: Ownership;
 
@@ -78,34 +77,37 @@
     this.#options = { ...options, store };
     const { configSource, linkAddress, linkKey, processorShare, revokeMs, configApplyMs } = options;
     this.#config = new ConfigWatcher({ ctx, store, source: configSource, applyMs: configApplyMs });
-    this.#jobs = new JobLookup({ ctx, store });
-    this.#gate = new CallerGate({ config: this.#config, staleAfterMs: STALE_SHARE * revokeMs });
-    const waiting = new WaitingCount({
+    this.#jobLookup = new JobLookup({ ctx, store });
+    this.#admission = new CallAdmission({
+      config: this.#config,
+      staleAfterMs: STALE_FRACTION * revokeMs,
+    });
+    const waiting = new WaitingJobCounter({
       ctx,
       store,
-      ownCount: (queue) => this.#owner?.waiting(queue),
+      localCount: (queue) => this.#owner?.waiting(queue),
       ownerLink: () => this.#peers.ownerLink,
     });
-    this.calls = new JobCalls({
+    this.jobApi = new JobApi({
       ctx,
       store,
       config: this.#config,
-      gate: this.#gate,
-      jobs: this.#jobs,
-      countWaiting: (queue, limit) => waiting.of(queue, limit),
-      canAskAdvice: options.advisor !== undefined,
+      admission: this.#admission,
+      jobs: this.#jobLookup,
+      countWaiting: (queue, limit) => waiting.count(queue, limit),
+      hasAdvisor: options.advisor !== undefined,
       forward: (call) => this.#peers.forward(call),
-      route: new AcceptanceRoute({
+      router: new SubmissionRouter({
         ctx,
         store,
         configKey: configSource.key,
-        ownAccept: () => {
+        localAccept: () => {
           const owner = this.#owner;
           return owner && ((call) => owner.accept(call));
         },
         ownerLink: () => this.#peers.ownerLink,
       }),
-      onWritten: (row) => this.#noteWritten(row),
+      onRowWritten: (row) => this.#onRowWritten(row),
     });
     const { id, incarnation, failureDomain } = ctx.self;
     const self = { id, incarnation, address: linkAddress };
@@ -121,7 +123,7 @@
       handlers: this.#handlers(),
       heartbeat: LINK_HEARTBEAT,
       listen: linkAddress,
-      status: () => this.#status(),
+      status: () => this.#heartbeatStatus(),
     });
     this.#successors = new SuccessorList({ links: () => this.#links.links(), clock: ctx.clock });
     this.#ownership = new Ownership({
@@ -129,23 +131,23 @@
       store,
       self,
       events: {
-        onGained: (term, ownerVersion) => this.#open(term, ownerVersion),
-        onLost: () => this.#close(),
-        onHolder: (holder) => this.#peers.followOwner(holder),
+        onGained: (term, ownerVersion) => this.#startOwner(term, ownerVersion),
+        onLost: () => this.#stopOwner(),
+        onHolder: (holder) => this.#peers.setOwner(holder),
       },
       rank: () => this.#peers.rank(),
-      isSettled: () => this.#peers.isSettled,
+      isSettled: () => this.#peers.isDiscoveryDone,
       isLinked: () => this.#peers.ownerLink !== undefined,
     });
   }
 
-  /** True if new callers are welcome. */
+  /** True if this entry should receive new calls. */
   get isReady(): boolean {
-    return !this.#draining && this.#config.ageMs < STORE_AWAY_MS;
+    return !this.#draining && this.#config.ageMs < STORE_DOWN_AFTER_MS;
   }
 
-  /** Links that this entry has dialled and that are up. */
-  get peers(): Link[] {
+  /** Live links that this entry dialled. */
+  get peerLinks(): Link[] {
     return this.#peers.links;
   }
 
@@ -156,20 +158,20 @@
     this.#ownership.start();
   }
 
-  /** Takes no new callers any more and hands the cell over; calls that come all the same are served. */
+  /** Reports not ready and gives up ownership of the cell. Calls that still arrive are served. */
   async drain(): Promise<void> {
     this.#draining = true;
     await this.#ownership.stop();
   }
 
   async stop(): Promise<void> {
-    this.#close();
+    this.#stopOwner();
     this.#config.stop();
     this.#peers.stop();
     await this.#links.close();
   }
 
-  #open(term: number, ownerVersion: number): void {
+  #startOwner(term: number, ownerVersion: number): void {
     const { ctx, store, advisor, leaseMs, reclaim, evacuation, keepEndedMs } = this.#options;
     this.#owner = new CellOwner({
       ctx,
@@ -190,19 +192,19 @@
     this.#owner.start();
   }
 
-  /** The owner hears of it now: the store's feed may be a second behind. */
-  #noteWritten(row: Row): void {
-    this.#jobs.noteRow(row);
-    if (this.#owner === undefined) this.#peers.tellOwner(row);
+  /** Notifies the owner directly, because the store's change feed may be a second behind. */
+  #onRowWritten(row: Row): void {
+    this.#jobLookup.applyRow(row);
+    if (this.#owner === undefined) this.#peers.notifyOwner(row);
     else this.#owner.noteWritten(row);
   }
 
-  /** Told in heartbeats; only the owner has something to tell. */
-  #status(): Record<string, unknown> {
+  /** Status sent with heartbeats; empty unless this entry is the owner. */
+  #heartbeatStatus(): Record<string, unknown> {
     return this.#owner === undefined ? {} : { successors: this.#successors.current() };
   }
 
-  #close(): void {
+  #stopOwner(): void {
     this.#owner?.stop();
     this.#owner = undefined;
   }
@@ -217,7 +219,7 @@
         if (this.#owner === undefined) throw notOwner();
         return this.#owner.accept(req);
       },
-      'caller.forward': (req) => this.calls.serveForwarded(req),
+      'caller.forward': (req) => this.jobApi.serveForwarded(req),
       'cell.waiting': ({ queue }) => {
         const count = this.#owner?.waiting(queue);
         if (count === undefined) throw notOwner();
--- a/packages/cell/src/entry/entry-row.ts
+++ b/packages/cell/src/entry/entry-row.ts
@@ -1,20 +1,20 @@
-/** Rows by which entries find each other. */
+/** Rows with which entries register, so that they can discover each other. */
 import { Packr } from 'msgpackr';
 import * as z from 'zod';
 import { addressSchema, incarnationSchema } from '@zincspan/core';
 import { CELL_TABLE } from '../owner/owner-row.js';
 import type { RowKey } from '../store/row-store.js';
 
-/** Keys of entries begin so. */
+/** Key prefix of entries' rows. */
 export const ENTRY_PREFIX = 'entry/';
 
-/** One entry: its latest life, where others reach it, and what it can carry. */
+/** One entry: its current incarnation, address and capacity. */
 export const entryRowSchema = z.object({
   id: z.string(),
   incarnation: incarnationSchema,
   address: addressSchema,
   failureDomain: z.string().default(''),
-  /** Cores that it may use. */
+  /** CPU cores that it may use. */
   processorShare: z.number().default(0),
 });
 export type EntryRow = z.infer<typeof entryRowSchema>;
@@ -29,7 +29,7 @@
   return packr.pack(row);
 }
 
-/** Throws if the row isn't as agreed. */
+/** Throws if the row doesn't match the schema. */
 export function unpackEntryRow(value: Buffer): EntryRow {
   return entryRowSchema.parse(packr.unpack(value));
 }
--- a/packages/cell/src/entry/entry-load.steps.ts
+++ b/packages/cell/src/entry/entry-scaling.steps.ts
@@ -14,15 +14,15 @@
 import { CellWorld, callOf, eventually } from '../testing/cell-world.support.js';
 import { PREFIX } from '../testing/test-jobs.support.js';
 
-/** Links beside the owner's that each entry keeps. */
-const NEIGHBOURS = 2;
+/** Links that each entry keeps besides the one to the owner. */
+const NEIGHBOUR_LINKS = 2;
 
-/** Whether the owner has told each entry that the last two that joined take the cell before all others. */
-function areNamedFirst(world: CellSteps): boolean {
+/** Whether each entry has a list from the owner on which the last two entries that joined are the first successors. */
+function areTopSuccessors(world: CellSteps): boolean {
   const owner = ownerOf(world);
   const strong = cellOf(world).entries.slice(-2);
   const told = cellOf(world).logged('rank among successors changed');
-  return entriesButOwner(world).every((entry) => {
+  return nonOwners(world).every((entry) => {
     const last = told.findLast(({ by }) => by === entry.id);
     if (last?.toldBy !== owner.id) return false;
     const rank = typeof last.rank === 'number' ? last.rank : Infinity;
@@ -30,7 +30,7 @@
   });
 }
 
-/** Who was to take the cell, as the entries saw it, and who did: for a scenario that fails. */
+/** The ranks that the entries logged, and which entry took over the cell: the message of a failed assertion. */
 function describeSuccession(world: CellSteps): string {
   const cell = cellOf(world);
   const ranks = cell
@@ -40,51 +40,51 @@
   return ['ranks', ...ranks, 'taken', ...taken].join('\n');
 }
 
-function entriesButOwner(world: CellSteps): Entry[] {
+function nonOwners(world: CellSteps): Entry[] {
   const owner = ownerOf(world);
   return cellOf(world).entries.filter((entry) => entry !== owner);
 }
 
 /**
- * Each entry knows who takes the cell by then, in ms: a heartbeat tells the owner of an entry, another is sent by a list that is as old,
- * a third brings it, and those that aren't named look once a second.
+ * Time within which each entry knows the successors, in ms: one heartbeat reports an entry to the owner, the next may carry a list
+ * that is one heartbeat old, a third carries the new one, and entries that aren't on it check once a second.
  */
-const NAMED_WITHIN_MS = 4000;
+const SUCCESSION_SETTLED_MS = 4000;
 
-/** Links that an entry has dialled and that are up. */
-function dialled({ app }: Entry): string[] {
-  return app.peers.map(({ process }) => process.id);
+/** Ids of the entries to which this one has dialled a live link. */
+function linkedEntries({ app }: Entry): string[] {
+  return app.peerLinks.map(({ process }) => process.id);
 }
 
 async function areLinked(world: CellSteps): Promise<boolean> {
   return eventually(() => {
     const owner = cellOf(world).owner();
     return cellOf(world).entries.every((entry) => {
-      const links = dialled(entry);
+      const links = linkedEntries(entry);
       const others = links.filter((id) => id !== owner?.id).length;
-      return others === NEIGHBOURS && (entry === owner || links.includes(owner?.id ?? ''));
+      return others === NEIGHBOUR_LINKS && (entry === owner || links.includes(owner?.id ?? ''));
     });
   });
 }
 
 async function stateAt(entry: Entry, world: CellSteps): Promise<string> {
-  const result = await entry.app.calls.state(callOf(jobOf(world)));
+  const result = await entry.app.jobApi.state(callOf(jobOf(world)));
   return result.outcome === 'state' ? result.state : result.outcome;
 }
 
 async function waitingAt(entry: Entry): Promise<number | string> {
-  const result = await entry.app.calls.waiting({ ...callOf(''), path: PREFIX });
+  const result = await entry.app.jobApi.waiting({ ...callOf(''), path: PREFIX });
   return result.outcome === 'waiting' ? result.count : result.outcome;
 }
 
-async function handInAtOwner(world: CellSteps, count: number): Promise<void> {
-  for (let each = 0; each < count; each++) {
+async function submitAtOwner(world: CellSteps, count: number): Promise<void> {
+  for (let i = 0; i < count; i++) {
     await handIn(world, { entry: ownerOf(world), spec: { workMs: 50 } });
   }
 }
 
 Given(
-  'a cell of 5 entries, the last two of which have more of a processor, and 1 worker',
+  'a cell of 5 entries, the last two of which have more CPU cores, and 1 worker',
   async function (this: CellSteps) {
     const cell = new CellWorld();
     this.cell = cell;
@@ -94,53 +94,56 @@
     await cell.addEntry({ processorShare: 2 });
     assert.ok(await areLinked(this));
     assert.ok(
-      await eventually(() => areNamedFirst(this), NAMED_WITHIN_MS),
+      await eventually(() => areTopSuccessors(this), SUCCESSION_SETTLED_MS),
       describeSuccession(this),
     );
   },
 );
 
-When('{int} jobs are handed in at the owner', async function (this: CellSteps, count: number) {
-  await handInAtOwner(this, count);
+When('{int} jobs are submitted at the owner', async function (this: CellSteps, count: number) {
+  await submitAtOwner(this, count);
 });
 
 When(
-  '{int} jobs are handed in at the owner and complete',
+  '{int} jobs are submitted at the owner and complete',
   async function (this: CellSteps, count: number) {
-    await handInAtOwner(this, count);
+    await submitAtOwner(this, count);
     const areOver = (): boolean =>
       this.jobs.every((id) => cellOf(this).writtenProgress(id)?.outcome === 'completed');
     assert.ok(await eventually(areOver));
   },
 );
 
-When('a job is handed in at the owner and completes', async function (this: CellSteps) {
-  await handInAtOwner(this, 1);
+When('a job is submitted at the owner and completes', async function (this: CellSteps) {
+  await submitAtOwner(this, 1);
   const isOver = (): boolean => cellOf(this).writtenProgress(jobOf(this))?.outcome === 'completed';
   assert.ok(await eventually(isOver));
 });
 
-When("an entry that doesn't own the cell is gone", async function (this: CellSteps) {
+When("an entry that doesn't own the cell is stopped", async function (this: CellSteps) {
   const { entries } = cellOf(this);
-  const [gone] = entries.splice(entries.indexOf(otherEntry(this)), 1);
-  await gone?.app.stop();
+  const [stopped] = entries.splice(entries.indexOf(otherEntry(this)), 1);
+  await stopped?.app.stop();
 });
 
-When('every entry has told of it, and the store is away', async function (this: CellSteps) {
-  const { entries } = cellOf(this);
-  await Promise.all(entries.map((entry) => stateAt(entry, this)));
-  entries.forEach(({ store }) => Object.assign(store, { fault: 'refuse' }));
-});
+When(
+  'every entry has reported its state, and the store becomes unavailable',
+  async function (this: CellSteps) {
+    const { entries } = cellOf(this);
+    await Promise.all(entries.map((entry) => stateAt(entry, this)));
+    entries.forEach(({ store }) => Object.assign(store, { fault: 'refuse' }));
+  },
+);
 
-Then('no other entry has asked the store about a job', function (this: CellSteps) {
-  entriesButOwner(this).forEach(({ id, store }) => {
+Then('no other entry has called the store about a job', function (this: CellSteps) {
+  nonOwners(this).forEach(({ id, store }) => {
     const calls = store.calls.filter(({ table }) => table === 'jobs');
     assert.deepEqual(calls, [], id);
   });
 });
 
 Then(
-  /^each entry(?: that is left)? keeps links to the owner and to 2 others soon after$/,
+  /^each (?:remaining )?entry keeps links to the owner and to 2 others soon after$/,
   { timeout: 15_000 },
   async function (this: CellSteps) {
     assert.ok(await areLinked(this));
@@ -153,7 +156,7 @@
   async function (this: CellSteps) {
     assert.ok(await areLinked(this));
     await pause(1500);
-    const others = entriesButOwner(this);
+    const others = nonOwners(this);
     const counts = (): number[] =>
       others.map(
         ({ store }) => store.calls.filter(({ table }) => table === OWNER_KEY.table).length,
@@ -161,7 +164,7 @@
     const before = counts();
     await pause(2000);
     const often = counts().filter((count, index) => count - (before[index] ?? 0) > 4);
-    assert.ok(often.length <= 3, `${often.length} entries look out`);
+    assert.ok(often.length <= 3, `${often.length} entries read it more often`);
   },
 );
 
@@ -171,18 +174,21 @@
   assert.ok(await eventually(isTaken, 3000), describeSuccession(this));
 });
 
-Then(/^every entry says that it is (completed|running)$/, async function (this: CellSteps, state) {
-  const states = await Promise.all(cellOf(this).entries.map((entry) => stateAt(entry, this)));
-  assert.deepEqual(new Set(states), new Set([state]));
-});
+Then(
+  /^every entry reports that it is (completed|running)$/,
+  async function (this: CellSteps, state) {
+    const states = await Promise.all(cellOf(this).entries.map((entry) => stateAt(entry, this)));
+    assert.deepEqual(new Set(states), new Set([state]));
+  },
+);
 
-Then('every entry says that {int} jobs wait', async function (this: CellSteps, count: number) {
+Then('every entry reports that {int} jobs wait', async function (this: CellSteps, count: number) {
   const counts = await Promise.all(cellOf(this).entries.map(waitingAt));
   assert.deepEqual(new Set(counts), new Set([count]));
 });
 
 Then(
-  'every entry that is left says at once that {int} jobs wait',
+  'every remaining entry reports at once that {int} jobs wait',
   async function (this: CellSteps, count: number) {
     const left = cellOf(this).entries.filter(({ store }) => store.fault === 'none');
     const startedAt = performance.now();
@@ -198,7 +204,7 @@
 });
 
 Given(
-  'a cell that starts with 4 entries, the last of which has more of a processor',
+  'a cell that starts with 4 entries, the last of which has more CPU cores',
   async function (this: CellSteps) {
     const cell = new CellWorld();
     this.cell = cell;
--- a/packages/cell/src/entry/job-lookup.ts
+++ b/packages/cell/src/entry/job-lookup.ts
@@ -1,7 +1,6 @@
 /**
- * Jobs as callers ask for them: each question reads the job's rows, and nothing is read that nobody asks about. Among 35
- * entries that followed the whole table, the feed made up about two thirds of 1,650 store calls a second; a question costs
- * one call, and its answer is as new as the store.
+ * Looks up jobs on demand by reading their rows. Following the whole table instead made the change feed about two thirds of
+ * 1,650 store calls a second with 35 entries. A look-up costs one call, and its answer is as new as the store.
  */
 import { LRUCache } from 'lru-cache';
 import type { ProcessContext } from '@zincspan/core';
@@ -9,29 +8,29 @@
 import { JobView, type KnownJob } from '../job/job-view.js';
 import type { Row, RowStore } from '../store/row-store.js';
 
-/** Jobs kept, so that only what changes is read again: a caller asks about its job until that has ended. */
-const MOST_KEPT = 500;
+/** Cached jobs, so that only their changing rows are read again; callers poll a job until it has ended. */
+const MAX_CACHED_JOBS = 500;
 
-/** A job that nobody asked about for this long is read whole again, in ms: shorter than ended jobs are kept. */
-const KEPT_MS = 60_000;
+/** Time after its last look-up at which a job leaves the cache, in ms; shorter than the retention time of ended jobs. */
+const CACHE_TTL_MS = 60_000;
 
-/** A look-up that the store didn't answer in time is `unknown`. */
+/** Result of a look-up; `unknown` if the store didn't answer in time. */
 export type FindResult = KnownJob | 'absent' | 'unknown';
 
-/** Reads jobs one by one. */
+/** Reads single jobs and caches them. */
 export class JobLookup {
   readonly #store: RowStore;
 
   readonly #view: JobView;
 
-  readonly #kept: LRUCache<string, true>;
+  readonly #cachedIds: LRUCache<string, true>;
 
   constructor({ ctx, store }: { ctx: ProcessContext; store: RowStore }) {
     this.#store = store;
     this.#view = new JobView({ ctx });
-    this.#kept = new LRUCache({
-      max: MOST_KEPT,
-      ttl: KEPT_MS,
+    this.#cachedIds = new LRUCache({
+      max: MAX_CACHED_JOBS,
+      ttl: CACHE_TTL_MS,
       updateAgeOnGet: true,
       perf: { now: () => ctx.clock.now() },
       dispose: (_, id, reason) => {
@@ -40,36 +39,36 @@
     });
   }
 
-  /** As it was when it was last read or written here; undefined if it wasn't lately. */
-  known(id: string): KnownJob | undefined {
-    return this.#kept.get(id) === undefined ? undefined : this.#view.get(id);
+  /** The job as last read or written here; undefined if it is not in the cache. */
+  cached(id: string): KnownJob | undefined {
+    return this.#cachedIds.get(id) === undefined ? undefined : this.#view.get(id);
   }
 
-  /** As its rows say now. */
+  /** Reads the current state of the job. */
   async find(id: string, { timeoutMs }: { timeoutMs: number }): Promise<FindResult> {
-    const known = this.known(id);
-    // An end never changes any more.
-    if (known?.progress !== undefined && known.progress.outcome !== 'open') return known;
-    const result = await this.#store.read(rangeOf(id, known), { timeoutMs });
+    const cached = this.cached(id);
+    // The state of an ended job never changes.
+    if (cached?.progress !== undefined && cached.progress.outcome !== 'open') return cached;
+    const result = await this.#store.read(readRange(id, cached), { timeoutMs });
     if (result.outcome === 'failed') return 'unknown';
-    if (known !== undefined && known.progressVersion > 0 && result.rows.length === 0) {
-      this.#kept.delete(id);
+    if (cached !== undefined && cached.progressVersion > 0 && result.rows.length === 0) {
+      this.#cachedIds.delete(id);
       return 'absent';
     }
-    result.rows.forEach((row) => this.noteRow(row));
+    result.rows.forEach((row) => this.applyRow(row));
     return this.#view.get(id) ?? 'absent';
   }
 
-  /** A row of a job that was read, or written here. */
-  noteRow(row: Row): void {
+  /** Applies a job's row that was read or written here. */
+  applyRow(row: Row): void {
     const id = this.#view.apply({ ...row, deleted: false });
-    if (id !== undefined) this.#kept.set(id, true);
+    if (id !== undefined) this.#cachedIds.set(id, true);
   }
 }
 
-/** The submission never changes: it is read once. */
-function rangeOf(id: string, known: KnownJob | undefined): Parameters<RowStore['read']>[0] {
+/** Range of the job's rows to read. A submission never changes, so it is not read again for a cached job. */
+function readRange(id: string, cached: KnownJob | undefined): Parameters<RowStore['read']>[0] {
   const { table, part, key: from } = jobRowKey(id, 'cancellation');
-  if (known === undefined) return { table, part, from: `${id}/`, to: `${id}0` };
+  if (cached === undefined) return { table, part, from: `${id}/`, to: `${id}0` };
   return { table, part, from, to: `${jobRowKey(id, 'progress').key}\u0000` };
 }
--- a/packages/cell/src/entry/peer-entries.ts
+++ b/packages/cell/src/entry/peer-entries.ts
@@ -1,4 +1,4 @@
-/** The other entries: found by their rows, and reached over links to the owner and to a few of them. */
+/** Discovers the other entries by their rows, and keeps links to the owner and to a few neighbours. */
 import type { ForwardedCall, ForwardedResult, ProcessContext } from '@zincspan/core';
 import { Dialer, type Link } from '@zincspan/link';
 import { LINK_HEARTBEAT } from '../guard/owner-link.js';
@@ -11,42 +11,41 @@
   unpackEntryRow,
   type EntryRow,
 } from './entry-row.js';
-import { neighboursOf } from './neighbours.js';
-import { successorsAnnounced, successorsTold } from './owner-status.js';
+import { rankNeighbours } from './entry-ranking.js';
+import { successorsFromRows, successorsFromOwner } from './successor-list.js';
 
 /**
- * Links beside the owner's: where a call is passed on when the store turns this entry away. Two, in other failure domains: the
- * owner may be turned away as well.
+ * Number of links besides the owner's, for forwarding calls when the store refuses this entry. Two, preferably in other failure
+ * domains, because the store may refuse the owner too.
  */
-const NEIGHBOURS = 2;
+const NEIGHBOUR_LINKS = 2;
 
-/** Pause between looks for other entries while links are missing, in ms: a new one takes part within that time. */
-const LOOK_EVERY_MS = 2000;
+/** Interval of discovery while links are missing, in ms. New entries are linked within this time. */
+const DISCOVERY_INTERVAL_MS = 2000;
 
-/** And while none is, in ms. */
-const SETTLED_LOOK_MS = 10_000;
+/** Interval of discovery while no link is missing, in ms. */
+const STABLE_DISCOVERY_INTERVAL_MS = 10_000;
 
-/** A neighbour without a link for this long gives way to another, in ms: a process that is started anew is back sooner. */
-const GIVE_UP_AFTER_MS = 3000;
+/** Time without a link after which a neighbour is replaced, in ms. A process that restarts is back sooner. */
+const REPLACE_AFTER_MS = 3000;
 
-/** And isn't tried again for this long, in ms. */
-const PASSED_OVER_MS = 30_000;
+/** Time for which a replaced neighbour is not dialled, in ms. */
+const EXCLUSION_MS = 30_000;
 
-/** Pause before an own row that couldn't be written is tried again, and between looks while no owner is known, in ms. */
-const RETRY_MS = 300;
+/** Interval of retries to write this entry's row, and of discovery while no owner is known, in ms. */
+const RETRY_INTERVAL_MS = 300;
 
 /**
- * Entries that start together announce themselves within this time, in ms; before, none of them is the best of all. Otherwise
- * the first to look would own the cell, and may be the weakest.
+ * Time after the start within which entries that start together have registered, in ms. Candidates are not compared before;
+ * otherwise the first entry to look would own the cell, and it may be the weakest.
  */
-const ANNOUNCED_WITHIN_MS = 600;
+const STARTUP_DISCOVERY_MS = 600;
 
 const CALL_TIMEOUT_MS = 1200;
 
-/** A call is passed on to this many entries at once: the store may turn one of them away as well. */
-const ASKED_AT_ONCE = 2;
+/** Number of entries to which a call is forwarded at once; the store may refuse one of them too. */
+const FORWARD_FANOUT = 2;
 
-/** What the peers are found and reached by. */
 export interface PeerEntriesOptions {
   ctx: ProcessContext;
   store: RowStore;
@@ -57,42 +56,42 @@
 interface Peer {
   address: string;
   dialer: Dialer;
-  /** When it was first seen without a link, on the monotonic clock; undefined while it has one. */
-  missingSince: number | undefined;
+  /** When it was first found without a link (monotonic clock, in ms); undefined while it has one. */
+  unlinkedSince: number | undefined;
 }
 
-/** Other entries of the cell. */
+/** This entry's view of the other entries of the cell, and its links to them. */
 export class PeerEntries {
   readonly #options: PeerEntriesOptions;
 
   readonly #peers = new Map<string, Peer>();
 
-  /** Versions of rows that couldn't be read: each is told of once. */
-  readonly #unreadable = new Map<string, number>();
+  /** Versions of rows that could not be decoded, by key; each is logged once. */
+  readonly #invalidRowVersions = new Map<string, number>();
 
-  /** Entries that couldn't be reached, and until when they aren't tried. */
-  readonly #passedOver = new Map<string, number>();
+  /** Unreachable entries, and until when they are not dialled. */
+  readonly #excludedUntil = new Map<string, number>();
 
   #rows: EntryRow[] = [];
 
   #startedAt = Infinity;
 
-  /** False until somebody is known to own the cell, if only this entry. */
-  #hasOwner = false;
+  /** True while an owner of the cell is known, including this entry. */
+  #isOwnerKnown = false;
 
   #owner: Holder | undefined;
 
-  /** As the last owner told that there was a link to. */
+  /** Last list of successors received from an owner. */
   #successors: string[] | undefined;
 
   #rank: number | undefined;
 
-  /** The owner that told it; undefined if it follows from the entries' rows. */
-  #rankToldBy: string | undefined;
+  /** Id of the owner whose list the rank is from; undefined if it is computed from the entries' rows. */
+  #rankSource: string | undefined;
 
   #timer: NodeJS.Timeout | undefined;
 
-  #registered = false;
+  #isRegistered = false;
 
   #stopped = false;
 
@@ -105,30 +104,30 @@
     return [...this.#peers.values()].flatMap(({ dialer }) => dialer.link ?? []);
   }
 
-  /** The link to the cell's owner; undefined while there is none, or if this entry is the owner. */
+  /** The link to the cell's owner; undefined if there is none or this entry is the owner. */
   get ownerLink(): Link | undefined {
     return this.#owner && this.#peers.get(this.#owner.id)?.dialer.link;
   }
 
-  /** False until the others have had time to announce themselves: who is best isn't known before. */
-  get isSettled(): boolean {
-    return this.#now() - this.#startedAt >= ANNOUNCED_WITHIN_MS;
+  /** True once the other entries have had time to register, so that candidates can be compared. */
+  get isDiscoveryDone(): boolean {
+    return this.#now() - this.#startedAt >= STARTUP_DISCOVERY_MS;
   }
 
-  /** How many entries take the cell before this one when its owner is lost; undefined if it is none of those. */
+  /** Number of entries before this one in the order of succession; undefined if it is not a successor. */
   rank(): number | undefined {
     const { self } = this.#options;
     const { ownerLink } = this;
-    this.#successors = (ownerLink && successorsTold(ownerLink)) ?? this.#successors;
-    const successors = this.#successors ?? successorsAnnounced(self, this.#rows);
+    this.#successors = (ownerLink && successorsFromOwner(ownerLink)) ?? this.#successors;
+    const successors = this.#successors ?? successorsFromRows(self, this.#rows);
     const index = successors.indexOf(self.id);
     const rank = index < 0 ? undefined : index;
     const toldBy = this.#successors && this.#owner?.id;
-    if (rank !== this.#rank || toldBy !== this.#rankToldBy) {
+    if (rank !== this.#rank || toldBy !== this.#rankSource) {
       this.#options.ctx.log.info({ rank, successors, toldBy }, 'rank among successors changed');
     }
     this.#rank = rank;
-    this.#rankToldBy = toldBy;
+    this.#rankSource = toldBy;
     return rank;
   }
 
@@ -143,52 +142,57 @@
     this.#peers.forEach(({ dialer }) => dialer.close());
   }
 
-  /** Keeps a link to this entry as long as it owns the cell. */
-  followOwner(holder: Holder | undefined): void {
-    this.#hasOwner = holder !== undefined;
+  /** Sets the owner of the cell and keeps a link to it. */
+  setOwner(holder: Holder | undefined): void {
+    this.#isOwnerKnown = holder !== undefined;
     const owner = holder?.id === this.#options.self.id ? undefined : holder;
     if (this.#stopped || owner?.incarnation === this.#owner?.incarnation) return;
     this.#owner = owner;
-    this.#settle();
+    this.#updateLinks();
   }
 
-  /** Has other entries serve a call: an answer of each that is asked. Rejects where the link fails meanwhile. */
+  /** Forwards a call to other entries; one promise per entry. Rejects if the link fails meanwhile. */
   forward(call: ForwardedCall): Promise<ForwardedResult>[] {
-    const live = this.links;
-    const first = Math.floor(Math.random() * live.length);
-    const asked = [...live.slice(first), ...live.slice(0, first)].slice(0, ASKED_AT_ONCE);
+    const liveLinks = this.links;
+    const first = Math.floor(Math.random() * liveLinks.length);
+    const asked = [...liveLinks.slice(first), ...liveLinks.slice(0, first)].slice(
+      0,
+      FORWARD_FANOUT,
+    );
     this.#options.ctx.metrics.count('call.forwarded', asked.length);
     return asked.map((link) => link.call('caller.forward', call, { timeoutMs: call.budgetMs }));
   }
 
-  /** Tells the owner of a row that was written here; without a link, or if it fails, the store's feed does. */
-  tellOwner({ key, value, version }: Row): void {
+  /** Sends the owner a row that was written here. Without a link, or if the call fails, the owner gets it from the store's change feed. */
+  notifyOwner({ key, value, version }: Row): void {
     const { ctx } = this.#options;
     this.ownerLink
       ?.call('job.news', { key, value, version }, { timeoutMs: CALL_TIMEOUT_MS })
       .catch((err: unknown) => {
         ctx.metrics.count('peers.tell-failed');
-        ctx.log.info({ key, err: String(err) }, 'telling the owner of a row failed');
+        ctx.log.info({ key, err: String(err) }, 'notifying the owner of a written row failed');
       });
   }
 
   async #tick(): Promise<void> {
     try {
-      if (!this.#registered) await this.#register();
-      await this.#look();
+      if (!this.#isRegistered) await this.#register();
+      await this.#discover();
     } catch (err) {
       this.#options.ctx.metrics.count('peers.look-failed');
-      this.#options.ctx.log.error({ err }, 'looking for other entries failed');
+      this.#options.ctx.log.error({ err }, 'discovering other entries failed');
     }
     if (this.#stopped) return;
     this.#timer = setTimeout(() => {
       void this.#tick();
-    }, this.#pauseMs());
+    }, this.#discoveryIntervalMs());
   }
 
-  #pauseMs(): number {
-    if (!this.#registered || !this.#hasOwner) return RETRY_MS;
-    return this.links.length > NEIGHBOURS ? SETTLED_LOOK_MS : LOOK_EVERY_MS;
+  #discoveryIntervalMs(): number {
+    if (!this.#isRegistered || !this.#isOwnerKnown) return RETRY_INTERVAL_MS;
+    return this.links.length > NEIGHBOUR_LINKS
+      ? STABLE_DISCOVERY_INTERVAL_MS
+      : DISCOVERY_INTERVAL_MS;
   }
 
   async #register(): Promise<void> {
@@ -197,68 +201,72 @@
       { expected: [], set: [{ ...entryRowKey(self.id), value: packEntryRow(self) }] },
       { timeoutMs: CALL_TIMEOUT_MS },
     );
-    this.#registered = result.outcome === 'done';
+    this.#isRegistered = result.outcome === 'done';
   }
 
-  async #look(): Promise<void> {
+  async #discover(): Promise<void> {
     const result = await this.#options.store.read(
       { table: CELL_TABLE, part: '', from: ENTRY_PREFIX, to: `${ENTRY_PREFIX}\uffff` },
       { timeoutMs: CALL_TIMEOUT_MS },
     );
     if (result.outcome === 'failed' || this.#stopped) return;
     this.#rows = result.rows.flatMap((row) => this.#decode(row) ?? []);
-    this.#giveUpMissing();
-    this.#settle();
+    this.#excludeUnreachable();
+    this.#updateLinks();
   }
 
-  /** Undefined for a row of another writer that can't be read: it names no entry, and the others hold. */
+  /** Undefined for a row that another process wrote and that cannot be decoded; it is ignored, the other rows remain valid. */
   #decode({ key, value, version }: Row): EntryRow | undefined {
     try {
       return unpackEntryRow(value);
     } catch (err) {
       const { ctx } = this.#options;
       ctx.metrics.count('peers.row-unreadable');
-      if (this.#unreadable.get(key) !== version) {
-        ctx.log.warn({ key, version, err: String(err) }, 'row of an entry unreadable');
+      if (this.#invalidRowVersions.get(key) !== version) {
+        ctx.log.warn(
+          { key, version, err: String(err) },
+          'row of an entry cannot be decoded; ignoring it',
+        );
       }
-      this.#unreadable.set(key, version);
+      this.#invalidRowVersions.set(key, version);
       return undefined;
     }
   }
 
-  #giveUpMissing(): void {
+  #excludeUnreachable(): void {
     const now = this.#now();
     this.#peers.forEach((peer, id) => {
-      const missingSince = peer.dialer.link === undefined ? (peer.missingSince ?? now) : undefined;
-      Object.assign(peer, { missingSince });
-      const missingMs = now - (missingSince ?? now);
-      if (id === this.#owner?.id || missingMs <= GIVE_UP_AFTER_MS) return;
-      this.#passedOver.set(id, now + PASSED_OVER_MS);
+      const unlinkedSince =
+        peer.dialer.link === undefined ? (peer.unlinkedSince ?? now) : undefined;
+      Object.assign(peer, { unlinkedSince });
+      const missingMs = now - (unlinkedSince ?? now);
+      if (id === this.#owner?.id || missingMs <= REPLACE_AFTER_MS) return;
+      this.#excludedUntil.set(id, now + EXCLUSION_MS);
       const { ctx } = this.#options;
       ctx.metrics.count('peers.passed-over');
-      ctx.log.info({ peer: id, missingMs }, 'entry passed over');
+      ctx.log.info({ peer: id, missingMs }, 'neighbour unreachable; replacing it');
     });
   }
 
-  /** Dials whom it should be linked to, and closes links to others. */
-  #settle(): void {
-    const wanted = this.#wanted();
+  /** Dials missing links and closes those that are no longer wanted. */
+  #updateLinks(): void {
+    const targets = this.#targetAddresses();
     this.#peers.forEach(({ address, dialer }, id) => {
-      if (wanted.get(id) === address) return;
+      if (targets.get(id) === address) return;
       dialer.close();
       this.#peers.delete(id);
     });
-    wanted.forEach((address, id) => {
+    targets.forEach((address, id) => {
       if (!this.#peers.has(id)) this.#dial(id, address);
     });
   }
 
-  /** Addresses by id. The owner is dialled however long it can't be reached. */
-  #wanted(): Map<string, string> {
+  /** Addresses of the entries to link to, by id. The owner is always included, however long it has been unreachable. */
+  #targetAddresses(): Map<string, string> {
     const now = this.#now();
-    const neighbours = neighboursOf(this.#options.self, this.#rows)
-      .filter(({ id }) => id !== this.#owner?.id && (this.#passedOver.get(id) ?? 0) <= now)
-      .slice(0, NEIGHBOURS);
+    const neighbours = rankNeighbours(this.#options.self, this.#rows)
+      .filter(({ id }) => id !== this.#owner?.id && (this.#excludedUntil.get(id) ?? 0) <= now)
+      .slice(0, NEIGHBOUR_LINKS);
     const all = this.#owner === undefined ? neighbours : [...neighbours, this.#owner];
     return new Map(all.map(({ id, address }) => [id, address]));
   }
@@ -274,8 +282,8 @@
       expectId: id,
       status: () => ({ processorShare: self.processorShare }),
     });
-    this.#peers.set(id, { address, dialer, missingSince: undefined });
-    ctx.log.info({ peer: id, address }, 'entry dialled');
+    this.#peers.set(id, { address, dialer, unlinkedSince: undefined });
+    ctx.log.info({ peer: id, address }, 'dialling entry');
     dialer.start();
   }
 
--- a/packages/cell/src/entry/slow-store.steps.ts
+++ b/packages/cell/src/entry/slow-store.steps.ts
@@ -14,21 +14,21 @@
 import { loseEntry, submit } from '../testing/cell-world.support.js';
 import { sameRow, type Transaction } from '../store/row-store.js';
 
-interface SlowSteps extends CellSteps {
-  /** When each job was handed in, and how long its acceptance took, in ms. */
-  handedIn: Map<string, { at: number; tookMs: number }>;
-  /** All transactions that were asked for. */
+interface SlowStoreWorld extends CellSteps {
+  /** Submission time of each job, and how long its acceptance took, in ms. */
+  submissions: Map<string, { at: number; tookMs: number }>;
+  /** All transactions that were requested. */
   transactions: Transaction[];
 }
 
-/** Reads know of the slow store by then, in ms. */
-const NOTICED_MS = 1500;
+/** Time within which the entries detect the slow store by their reads, in ms. */
+const DETECTION_MS = 1500;
 
 Given(
-  'a store that answers after {int} ms and carries out one transaction after the other, each in {int} ms',
-  async function (this: SlowSteps, answerMs: number, turnMs: number) {
+  'a store that answers after {int} ms and executes one transaction at a time, each in {int} ms',
+  async function (this: SlowStoreWorld, answerMs: number, turnMs: number) {
     const cell = cellOf(this);
-    this.handedIn = new Map();
+    this.submissions = new Map();
     this.transactions = [];
     this.ownerRow = cell.tables.get(OWNER_KEY)?.value;
     const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
@@ -40,13 +40,13 @@
       };
       Object.assign(store, { answerMs, turnMs, transact: watched });
     });
-    await pause(NOTICED_MS);
+    await pause(DETECTION_MS);
   },
 );
 
 When(
-  '{int} jobs are handed in {int} ms apart, at different entries',
-  async function (this: SlowSteps, count: number, apartMs: number) {
+  '{int} jobs are submitted {int} ms apart, at different entries',
+  async function (this: SlowStoreWorld, count: number, apartMs: number) {
     const { entries } = cellOf(this);
     const accepted = Array.from({ length: count }, async (_, index) => {
       await pause(index * apartMs);
@@ -56,13 +56,13 @@
       this.jobs.push(id);
       const at = performance.now();
       assert.equal(await submit(entry, id, { spec: { workMs: 100 } }), 'accepted');
-      this.handedIn.set(id, { at, tookMs: performance.now() - at });
+      this.submissions.set(id, { at, tookMs: performance.now() - at });
     });
     await Promise.all(accepted);
   },
 );
 
-When('the same job is handed in at all entries at once', async function (this: SlowSteps) {
+When('the same job is submitted at all entries at once', async function (this: SlowStoreWorld) {
   const { entries } = cellOf(this);
   const id = cellOf(this).newJobId();
   this.jobs.push(id);
@@ -74,8 +74,8 @@
 });
 
 When(
-  /^the owner (is cut from the store|is lost) and a job is handed in at another entry$/,
-  async function (this: SlowSteps, what: string) {
+  /^the owner (is cut from the store|is lost) and a job is submitted at another entry$/,
+  async function (this: SlowStoreWorld, what: string) {
     const owner = ownerOf(this);
     const other = otherEntry(this);
     if (what === 'is cut from the store') owner.store.fault = 'silent';
@@ -86,45 +86,45 @@
   },
 );
 
-When('nothing is handed in for {int} s', async function (this: SlowSteps, seconds: number) {
+When('nothing is submitted for {int} s', async function (this: SlowStoreWorld, seconds: number) {
   this.transactions = [];
   await pause(seconds * 1000);
 });
 
-When('a job is handed in', async function (this: SlowSteps) {
+When('a job is submitted', async function (this: SlowStoreWorld) {
   await handIn(this, { spec: { workMs: 100 } });
 });
 
-When('the store is as fast as usual for {int} s', async function (this: SlowSteps, s: number) {
+When('the store is as fast as usual for {int} s', async function (this: SlowStoreWorld, s: number) {
   const cell = cellOf(this);
   const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
   stores.forEach((store) => Object.assign(store, { answerMs: 2, turnMs: 0 }));
   await pause(s * 1000);
 });
 
-Then('each was accepted within {int} ms', function (this: SlowSteps, withinMs: number) {
-  this.handedIn.forEach(({ tookMs }) => assert.ok(tookMs < withinMs, `took ${tookMs} ms`));
+Then('each was accepted within {int} ms', function (this: SlowStoreWorld, withinMs: number) {
+  this.submissions.forEach(({ tookMs }) => assert.ok(tookMs < withinMs, `took ${tookMs} ms`));
 });
 
-Then('each had begun within {int} ms', function (this: SlowSteps, withinMs: number) {
-  this.handedIn.forEach(({ at }, id) => {
+Then('each started within {int} ms', function (this: SlowStoreWorld, withinMs: number) {
+  this.submissions.forEach(({ at }, id) => {
     const [first] = cellOf(this).starts(id);
     assert.ok(first !== undefined && first.at - at < withinMs, `began after ${first?.at} - ${at}`);
   });
 });
 
 Then(
-  'no more than {int} transactions were asked for in this time',
-  function (this: SlowSteps, most: number) {
+  'no more than {int} transactions were requested in this time',
+  function (this: SlowStoreWorld, most: number) {
     assert.ok(this.transactions.length <= most, `${this.transactions.length} transactions`);
   },
 );
 
-Then('the cell has the owner that it had', function (this: SlowSteps) {
+Then('the cell has the same owner as before', function (this: SlowStoreWorld) {
   assert.deepEqual(cellOf(this).tables.get(OWNER_KEY)?.value, this.ownerRow);
 });
 
-Then('the store was asked to accept it once', function (this: SlowSteps) {
+Then('the store was asked to accept it once', function (this: SlowStoreWorld) {
   const submission = jobRowKey(jobOf(this), 'submission');
   const acceptances = this.transactions.filter(({ set }) =>
     set.some((row) => sameRow(row, submission)),
--- a/packages/cell/src/entry/store-retry.ts
+++ b/packages/cell/src/entry/store-retry.ts
@@ -1,20 +1,20 @@
 /**
- * When callers are told to come back while the store can't be used. The load it answers: outages of 3 to 7 s, and callers
- * that try five times in all. With a fixed second they have used up their tries after four, and a job is lost that a
- * later try would have handed in; an outage that has lasted for some time goes on for about as long again.
+ * Computes the retry delay for callers while the store is unavailable. Outages last 3 to 7 s, and callers make five attempts in
+ * all. With a fixed delay of 1 s, these were used up after 4 s, and jobs were lost that a later attempt would have submitted.
+ * The delay therefore grows: an outage that has lasted for some time goes on for about as long again.
  */
 
-/** Shortest, in ms: most stores that fail once answer the next second. */
-const LEAST_MS = 1000;
+/** Minimum delay, in ms. After a single failure the store usually answers within the next second. */
+const MIN_RETRY_AFTER_MS = 1000;
 
-/** Longest, in ms: beyond this a caller waits longer than a whole outage lasts. */
-const MOST_MS = 4000;
+/** Maximum delay, in ms. With more, a caller waits longer than a whole outage lasts. */
+const MAX_RETRY_AFTER_MS = 4000;
 
-/** Of the time that the store has been away: half of it costs a caller who comes just before its return the least. */
-const AWAY_SHARE = 0.5;
+/** Delay as a share of the outage so far. One half costs a caller that comes just before the store's return the least. */
+const OUTAGE_SHARE = 0.5;
 
-/** In ms. `awayMs`: for how long the store hasn't answered here; Infinity before its first answer. */
-export function storeRetryMs(awayMs: number): number {
-  if (!Number.isFinite(awayMs)) return LEAST_MS;
-  return Math.min(MOST_MS, Math.max(LEAST_MS, AWAY_SHARE * awayMs));
+/** Retry delay in ms. `unavailableMs`: time since the store's last answer here; Infinity before its first one. */
+export function storeRetryAfterMs(unavailableMs: number): number {
+  if (!Number.isFinite(unavailableMs)) return MIN_RETRY_AFTER_MS;
+  return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, OUTAGE_SHARE * unavailableMs));
 }
--- a/packages/cell/src/entry/owner-status.steps.ts
+++ b/packages/cell/src/entry/successor-list.steps.ts
@@ -3,12 +3,12 @@
 import type { Clock } from '@zincspan/core';
 import type { Link } from '@zincspan/link';
 import { LINK_HEARTBEAT } from '../guard/owner-link.js';
-import { SuccessorList } from './owner-status.js';
+import { SuccessorList } from './successor-list.js';
 
-interface SuccessorSteps {
+interface SuccessorListWorld {
   list: SuccessorList;
   now: number;
-  looks: number;
+  linkScans: number;
 }
 
 function linkTo(id: string, status: object): Link {
@@ -17,19 +17,25 @@
 
 Given(
   'an owner linked to entries of {float}, {float} and {float} cores and {int} guards',
-  function (this: SuccessorSteps, first: number, second: number, third: number, guards: number) {
+  function (
+    this: SuccessorListWorld,
+    first: number,
+    second: number,
+    third: number,
+    guards: number,
+  ) {
     const entries = [first, second, third].map((processorShare) =>
       linkTo(`entry of ${processorShare}`, { processorShare }),
     );
     const others = Array.from({ length: guards }, (_, index) => linkTo(`guard-${index}`, {}));
     const links = [...others, ...entries];
     this.now = 0;
-    this.looks = 0;
+    this.linkScans = 0;
     const clock: Pick<Clock, 'now'> = { now: () => this.now };
     this.list = new SuccessorList({
       clock: clock as Clock,
       links: () => {
-        this.looks += 1;
+        this.linkScans += 1;
         return links;
       },
     });
@@ -38,7 +44,7 @@
 
 When(
   '{int} links ask for its successors within a heartbeat, three heartbeats long',
-  function (this: SuccessorSteps, asks: number) {
+  function (this: SuccessorListWorld, asks: number) {
     for (let beat = 0; beat < 3; beat++) {
       for (let ask = 0; ask < asks; ask++) {
         this.now = (beat + ask / asks) * LINK_HEARTBEAT.everyMs;
@@ -50,7 +56,7 @@
 
 Then(
   'its successors are the entries of {float}, {float} and {float} cores',
-  function (this: SuccessorSteps, first: number, second: number, third: number) {
+  function (this: SuccessorListWorld, first: number, second: number, third: number) {
     assert.deepEqual(
       this.list.current(),
       [first, second, third].map((cores) => `entry of ${cores}`),
@@ -58,6 +64,6 @@
   },
 );
 
-Then('its links were looked over {int} times', function (this: SuccessorSteps, times: number) {
-  assert.equal(this.looks, times);
+Then('its links were scanned {int} times', function (this: SuccessorListWorld, times: number) {
+  assert.equal(this.linkScans, times);
 });
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -154,7 +154,7 @@
   async function (this: CellSteps) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
-    const { outcome } = await cutOff.app.calls.state(callOf(jobOf(this)));
+    const { outcome } = await cutOff.app.jobApi.state(callOf(jobOf(this)));
     assert.equal(outcome, 'state');
     assert.equal(cutOff.metrics.counters.get('call.state.state'), 1);
   },
@@ -184,7 +184,7 @@
 });
 
 Given('the answers of entries that calls are passed on to are lost', function (this: CellSteps) {
-  cellOf(this).entries.forEach(({ app: { calls } }) => {
+  cellOf(this).entries.forEach(({ app: { jobApi: calls } }) => {
     const serve = calls.serveForwarded.bind(calls);
     const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
       await serve(call);
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -111,7 +111,7 @@
 );
 
 When('it is cancelled', async function (this: CellSteps) {
-  const { outcome } = await otherEntry(this).app.calls.cancel(callOf(jobOf(this)));
+  const { outcome } = await otherEntry(this).app.jobApi.cancel(callOf(jobOf(this)));
   assert.equal(outcome, 'cancelled');
 });
 
--- a/packages/cell/src/testing/cell-world.support.ts
+++ b/packages/cell/src/testing/cell-world.support.ts
@@ -227,7 +227,7 @@
   /** What any entry says of a job. */
   async state(id: string): Promise<string> {
     const entry = this.entries.find(({ app }) => app.isReady) ?? this.entries[0];
-    const result = await entry?.app.calls.state(callOf(id));
+    const result = await entry?.app.jobApi.state(callOf(id));
     return result?.outcome === 'state' ? result.state : (result?.outcome ?? 'no entry');
   }
 
@@ -351,7 +351,7 @@
   }: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule'] } = {},
 ): Promise<string> {
   const job: JobRequest = { spec: JSON.stringify(spec), steps, schedule };
-  const { outcome } = await entry.app.calls.submit(callOf(id), { decode: () => ({ job }) });
+  const { outcome } = await entry.app.jobApi.submit(callOf(id), { decode: () => ({ job }) });
   return outcome;
 }
 
