--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -94,7 +94,7 @@
       config: this.#config,
       admission: this.#admission,
       jobs: this.#jobLookup,
-      countWaiting: (queue, limit) => waiting.count(queue, limit),
+      countWaiting: (queue, limit) => waiting.countJobs(queue, limit),
       hasAdvisor: options.advisor !== undefined,
       forward: (call) => this.#peers.forward(call),
       router: new SubmissionRouter({
--- a/packages/cell/src/entry/job-writer.ts
+++ b/packages/cell/src/entry/job-writer.ts
@@ -87,7 +87,7 @@
     let admitted = initial;
     let mayBeCommitted = false;
     let refusals = 0;
-    let detail = 'no time left';
+    let detail = 'the deadline has passed';
     for (;;) {
       const timeoutMs = this.#attemptTimeoutMs(deadline);
       if (timeoutMs <= 0) break;
@@ -129,7 +129,7 @@
     const key = jobRowKey(id, 'cancellation');
     for (;;) {
       const timeoutMs = this.#attemptTimeoutMs(deadline);
-      if (timeoutMs <= 0) return this.#outcomeUnknown('no time left');
+      if (timeoutMs <= 0) return this.#outcomeUnknown('the deadline has passed');
       const tx = {
         expected: [{ ...key, version: 0 }],
         set: [{ ...key, value: CANCELLATION_VALUE }],
