--- a/packages/cell/src/entry/waiting-job-counter.ts
+++ b/packages/cell/src/entry/waiting-job-counter.ts
@@ -31,7 +31,10 @@
   }
 
   /** Undefined if neither the owner nor the store answered in time. */
-  async countJobs(queue: string, { timeoutMs }: { timeoutMs: number }): Promise<number | undefined> {
+  async countJobs(
+    queue: string,
+    { timeoutMs }: { timeoutMs: number },
+  ): Promise<number | undefined> {
     return (
       this.#options.localCount(queue) ??
       (await this.#askOwner(queue)) ??
--- a/packages/cell/src/owner/acceptance-queue.feature
+++ b/packages/cell/src/owner/acceptance-queue.feature
@@ -4,7 +4,7 @@
     Given a submission that was admitted under version 5 of the configuration, to be sent within 500 ms
 
   Scenario Outline: the result that the entry gets from a write with its submission
-    When the write with it <write>
+    When the write that contains it <write>
     Then its entry gets <result>
 
     Examples:
@@ -14,9 +14,9 @@
       | finds version 6 of the configuration | config-changed |
 
   Scenario Outline: a submission without a result goes into the next write
-    When the write with it <write>
+    When the write that contains it <write>
     Then its entry gets no result yet
-    When the write with it is committed
+    When the write that contains it is committed
     Then its entry gets done
 
     Examples:
@@ -26,7 +26,7 @@
       | isn't answered                |
 
   Scenario Outline: a submission without a result in time counts as refused only if none of its writes may have been committed
-    When the write with it <write>
+    When the write that contains it <write>
     And <the end> before the next one
     Then its entry gets <result>
 
--- a/packages/cell/src/owner/acceptance-queue.steps.ts
+++ b/packages/cell/src/owner/acceptance-queue.steps.ts
@@ -68,7 +68,7 @@
   this.batch = this.queue.take();
 });
 
-When(/^the write with it (.+)$/, function (this: AcceptanceQueueWorld, what: string) {
+When(/^the write that contains it (.+)$/, function (this: AcceptanceQueueWorld, what: string) {
   const result = WRITE_RESULTS[what];
   assert.ok(result !== undefined);
   const taken = this.queue.take();
