--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -157,7 +157,7 @@
   async function (this: CellTestContext) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
-    const { outcome } = await cutOff.app.calls.state(jobCall(firstJob(this)));
+    const { outcome } = await cutOff.app.jobApi.state(jobCall(firstJob(this)));
     assert.equal(outcome, 'state');
     assert.equal(cutOff.metrics.counters.get('call.state.state'), 1);
   },
@@ -189,7 +189,7 @@
 Given(
   'the answers of entries that calls are passed on to are lost',
   function (this: CellTestContext) {
-    cellOf(this).entries.forEach(({ app: { calls } }) => {
+    cellOf(this).entries.forEach(({ app: { jobApi: calls } }) => {
       const serve = calls.serveForwarded.bind(calls);
       const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
         await serve(call);
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -117,7 +117,7 @@
 );
 
 When('it is cancelled', async function (this: CellTestContext) {
-  const { outcome } = await nonOwnerEntry(this).app.calls.cancel(jobCall(firstJob(this)));
+  const { outcome } = await nonOwnerEntry(this).app.jobApi.cancel(jobCall(firstJob(this)));
   assert.equal(outcome, 'cancelled');
 });
 
--- a/packages/cell/src/owner/progress-writer.ts
+++ b/packages/cell/src/owner/progress-writer.ts
@@ -12,7 +12,7 @@
   type RowStore,
   type Transaction,
 } from '../store/row-store.js';
-import { AcceptanceQueue, type HandedAcceptance } from './acceptance-queue.js';
+import { AcceptanceQueue, type QueuedAcceptance } from './acceptance-queue.js';
 import type { OwnedJob } from './owned-job.js';
 import { OWNER_ROW_KEY } from './owner-row.js';
 import { sleep } from '../clock/sleep.js';
@@ -65,7 +65,7 @@
 interface WriteBatch {
   jobs: readonly PendingProgress[];
   startDomains: readonly string[];
-  acceptances: readonly HandedAcceptance[];
+  acceptances: readonly QueuedAcceptance[];
   sentAt: number;
 }
 
@@ -228,7 +228,7 @@
     };
   }
 
-  #reportAccepted(acceptances: readonly HandedAcceptance[], version: number): void {
+  #reportAccepted(acceptances: readonly QueuedAcceptance[], version: number): void {
     if (acceptances.length === 0) return;
     this.#events.onAccepted(acceptances.map(({ key, value }) => ({ ...key, value, version })));
   }
@@ -237,7 +237,7 @@
   #acceptancePreconditions([
     first,
     ...others
-  ]: readonly HandedAcceptance[]): Transaction['expected'] {
+  ]: readonly QueuedAcceptance[]): Transaction['expected'] {
     if (first === undefined) return [];
     const config = { ...this.#configKey, version: first.configVersion };
     return [config, ...[first, ...others].map(({ key }) => ({ ...key, version: 0 }))];
--- a/packages/cell/src/testing/test-cell.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -233,7 +233,7 @@
   /** State of a job as reported by a ready entry. */
   async jobState(id: string): Promise<string> {
     const entry = this.entries.find(({ app }) => app.isReady) ?? this.entries[0];
-    const result = await entry?.app.calls.state(jobCall(id));
+    const result = await entry?.app.jobApi.state(jobCall(id));
     return result?.outcome === 'state' ? result.state : (result?.outcome ?? 'no entry');
   }
 
@@ -360,7 +360,7 @@
   }: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule'] } = {},
 ): Promise<string> {
   const job: JobRequest = { spec: JSON.stringify(spec), steps, schedule };
-  const { outcome } = await entry.app.calls.submit(jobCall(id), { decode: () => ({ job }) });
+  const { outcome } = await entry.app.jobApi.submit(jobCall(id), { decode: () => ({ job }) });
   return outcome;
 }
 
