--- a/packages/cell/src/entry/entry-load.feature
+++ b/packages/cell/src/entry/entry-load.feature
@@ -30,7 +30,7 @@
 
   Scenario: a state that was read before is told while the store is away
     Given a cell of 3 entries and 1 workers
-    When a job that takes long is handed in and has begun
+    When a long job is submitted and has started
     And every entry has told of it, and the store is away
     Then every entry says that it is running
 
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -25,16 +25,19 @@
   type CellTestContext,
 } from './cell-test-context.support.js';
 
-Given("the store does what an entry writes and doesn't answer", function (this: CellTestContext) {
-  nonOwnerEntry(this).store.fault = 'lost';
-});
+Given(
+  "the store applies what an entry writes but doesn't answer",
+  function (this: CellTestContext) {
+    nonOwnerEntry(this).store.fault = 'lost';
+  },
+);
 
-Given('the owner stops the moment a run is written down', function (this: CellTestContext) {
+Given('the owner stops the moment it has written a run', function (this: CellTestContext) {
   loseEntryAtWrite(ownerEntry(this));
 });
 
 Given(
-  /^the first worker carries starts out 2.5 s later and doesn't answer$/,
+  /^the first worker carries out starts 2.5 s late and doesn't answer$/,
   function (this: CellTestContext) {
     const [first] = cellOf(this).workers;
     assert.ok(first);
@@ -42,58 +45,56 @@
   },
 );
 
-Given('an entry whose reads of the configuration stand still', function (this: CellTestContext) {
+Given('an entry whose reads of the configuration fail', function (this: CellTestContext) {
   const { store } = nonOwnerEntry(this);
-  const frozen = store.read.bind(store);
+  const read = store.read.bind(store);
   store.read = async (range, options) =>
-    range.table === 'operator' ? { outcome: 'failed', detail: 'frozen' } : frozen(range, options);
+    range.table === 'operator' ? { outcome: 'failed', detail: 'frozen' } : read(range, options);
 });
 
-Given('an owner whose feed stands still', async function (this: CellTestContext) {
-  // The entries look for each other every 2 s; what the feed was waiting for has come by then.
+Given('an owner whose feed is stalled', async function (this: CellTestContext) {
+  // Entries look for each other every 2 s; by then the feed has delivered what was pending.
   await pause(2500);
   ownerEntry(this).store.feedStandsStill = true;
   await pause(1600);
 });
 
-Given('an entry whose feed stands still', async function (this: CellTestContext) {
+Given('an entry whose feed is stalled', async function (this: CellTestContext) {
   nonOwnerEntry(this).store.feedStandsStill = true;
-  // What it was waiting for before has come by then.
+  // By then the feed has delivered what was pending.
   await pause(1600);
 });
 
-When('the feed of that entry goes on', async function (this: CellTestContext) {
+When('the feed of that entry resumes', async function (this: CellTestContext) {
   cellOf(this).entries.forEach(({ store }) => Object.assign(store, { feedStandsStill: false }));
-  // The feed tells of the job within 0.2 s; a second run would have been ordered, and refused once, by then.
+  // The feed delivers the job within 0.2 s; by then a second run would have been ordered, and refused once.
   await pause(1500);
 });
 
-When(
-  "its progress is put down as failed behind the owner's back",
-  async function (this: CellTestContext) {
-    const { tables } = cellOf(this);
-    const key = jobRowKey(firstJob(this), 'progress');
-    const row = { outcome: 'failed' as const, begun: true, opened: 1, occurrences: [] };
-    const value = packProgress(new JobProgress(testSubmission({}), row));
-    assert.equal(
-      tables.transact({ expected: [], set: [{ ...key, value }], remove: [] }).outcome,
-      'done',
-    );
-    // The run ends after 2 s and the owner writes that down.
-    await pause(4000);
-  },
-);
+When('another writer stores its progress as failed', async function (this: CellTestContext) {
+  const { tables } = cellOf(this);
+  const key = jobRowKey(firstJob(this), 'progress');
+  const row = { outcome: 'failed' as const, begun: true, opened: 1, occurrences: [] };
+  const value = packProgress(new JobProgress(testSubmission({}), row));
+  assert.equal(
+    tables.transact({ expected: [], set: [{ ...key, value }], remove: [] }).outcome,
+    'done',
+  );
+  // The run ends after 2 s, and the owner writes its end.
+  await pause(4000);
+});
 
 Then(
-  /^its progress says that it is (completed|failed)$/,
+  /^its stored progress is (completed|failed)$/,
   async function (this: CellTestContext, outcome: string) {
-    const isSo = (): boolean => cellOf(this).writtenProgress(firstJob(this))?.outcome === outcome;
-    assert.ok(await eventually(isSo));
+    const hasOutcome = (): boolean =>
+      cellOf(this).writtenProgress(firstJob(this))?.outcome === outcome;
+    assert.ok(await eventually(hasOutcome));
   },
 );
 
 When(
-  'the runner that runs it says that it leaves in {int} ms',
+  'the runner that runs it announces that it ends in {int} ms',
   function (this: CellTestContext, remainingMs: number) {
     const worker = runningWorker(this);
     worker.remainingMs = remainingMs;
@@ -110,16 +111,13 @@
   await fresh.start(2, 1);
 });
 
-Given(
-  'a queue that needs advice where no advisor is known',
-  async function (this: CellTestContext) {
-    const cell = cellOf(this);
-    cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
-    const isRefused = async () =>
-      (await submit(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
-    assert.ok(await eventually(isRefused, 2000));
-  },
-);
+Given('a queue that needs advice, without an advisor', async function (this: CellTestContext) {
+  const cell = cellOf(this);
+  cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
+  const isRefused = async () =>
+    (await submit(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
+  assert.ok(await eventually(isRefused, 2000));
+});
 
 Given('an entry that has been cut from the store for 2 s', async function (this: CellTestContext) {
   nonOwnerEntry(this).store.fault = 'silent';
@@ -153,7 +151,7 @@
 });
 
 Then(
-  'its state is told there, and noted as a call that was answered',
+  'that entry returns its state, and counts the call as answered',
   async function (this: CellTestContext) {
     const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
     assert.ok(cutOff);
@@ -163,7 +161,7 @@
   },
 );
 
-Given("a row of an entry that can't be read", function (this: CellTestContext) {
+Given('an unreadable row of an entry', function (this: CellTestContext) {
   const row = { ...entryRowKey('entry-0'), value: Buffer.from('of another writer') };
   const { outcome } = cellOf(this).tables.transact({ expected: [], set: [row], remove: [] });
   assert.equal(outcome, 'done');
@@ -179,29 +177,26 @@
   },
 );
 
-Then('a job handed in there is accepted', async function (this: CellTestContext) {
+Then('a job submitted there is accepted', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
   assert.equal(await submit(cutOff, cell.newJobId()), 'accepted');
 });
 
-Given(
-  'the answers of entries that calls are passed on to are lost',
-  function (this: CellTestContext) {
-    cellOf(this).entries.forEach(({ app: { calls } }) => {
-      const serve = calls.serveForwarded.bind(calls);
-      const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
-        await serve(call);
-        throw new Error('the answer is lost');
-      };
-      Object.assign(calls, { serveForwarded: serveAndFail });
-    });
-  },
-);
+Given('the answers to forwarded calls are lost', function (this: CellTestContext) {
+  cellOf(this).entries.forEach(({ app: { calls } }) => {
+    const serve = calls.serveForwarded.bind(calls);
+    const serveAndFail = async (call: Parameters<typeof serve>[0]): ReturnType<typeof serve> => {
+      await serve(call);
+      throw new Error('the answer is lost');
+    };
+    Object.assign(calls, { serveForwarded: serveAndFail });
+  });
+});
 
 When(
-  'a job is handed in at that entry, and its outcome is {string}',
+  'a job is submitted to that entry, and its outcome is {string}',
   async function (this: CellTestContext, expected: string) {
     const cell = cellOf(this);
     const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
@@ -221,7 +216,7 @@
 );
 
 When(
-  'all entries are lost and the runner that runs it comes back as another',
+  'all entries are lost and the runner that runs it is replaced',
   async function (this: CellTestContext) {
     const cell = cellOf(this);
     const lost = cell.entries.splice(0);
@@ -233,7 +228,7 @@
 );
 
 When(
-  'a runner goes for good, and a job with a task for each worker is handed in at once',
+  'a runner is lost for good, and a job with a task for each worker is submitted at once',
   async function (this: CellTestContext) {
     const { workers } = cellOf(this);
     const [first] = workers;
@@ -253,7 +248,7 @@
   ownerEntry(this).store.fault = 'silent';
 });
 
-When(/^the store is silent for everybody for 2.5 s$/, async function (this: CellTestContext) {
+When(/^the store answers nobody for 2.5 s$/, async function (this: CellTestContext) {
   const cell = cellOf(this);
   const stores = [...cell.entries, ...cell.workers].map(({ store }) => store);
   stores.forEach((store) => Object.assign(store, { fault: 'silent' }));
@@ -261,22 +256,22 @@
   stores.forEach((store) => Object.assign(store, { fault: 'none' }));
 });
 
-When('the runner that runs it crashes and comes back', function (this: CellTestContext) {
+When('the runner that runs it crashes and restarts', function (this: CellTestContext) {
   cellOf(this).replaceRunner(runningWorker(this));
 });
 
-When('the worker that runs it is out of reach', function (this: CellTestContext) {
+When('the worker that runs it is unreachable', function (this: CellTestContext) {
   const { guard, store } = runningWorker(this);
   store.fault = 'silent';
   guard.stop();
 });
 
-When('the operator takes the key away', function (this: CellTestContext) {
+When('the operator removes the key', function (this: CellTestContext) {
   cellOf(this).configure({ accounts: [] });
 });
 
 When(
-  'the store drops its history again and again while jobs are handed in',
+  'the store drops its history repeatedly while jobs are submitted',
   async function (this: CellTestContext) {
     const cell = cellOf(this);
     for (let each = 0; each < 6; each++) {
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -1,4 +1,4 @@
-/** One term of a cell's owner: loads the jobs, answers contacts from guards, runs placing passes, writes progress. */
+/** One term of a cell's owner: loads the jobs, answers contacts from guards, runs placement passes, writes progress. */
 import {
   ProblemError,
   problem,
@@ -272,7 +272,7 @@
     return { ...answer, leaseMs };
   }
 
-  /** Calls meant for the runner's previous life may have given the new life with the same id the longest possible lease. */
+  /** Calls meant for a runner's previous incarnation may have given the new one, with the same id, the longest possible lease. */
   #grantToReplacedRunner(worker: Worker, { runner }: CellContact): void {
     const earlier = worker.runner?.id;
     if (runner === undefined || earlier === undefined || earlier === runner.id) return;
@@ -329,7 +329,7 @@
       this.#adviceDesk?.want(questions);
     } catch (err) {
       this.#options.ctx.metrics.count('pass.failed');
-      this.#options.ctx.log.error({ err }, 'placing pass failed');
+      this.#options.ctx.log.error({ err }, 'placement pass failed');
     }
     this.#options.ctx.metrics.timing('pass', this.#registry.now() - startedAt);
   }
--- a/packages/cell/src/owner/cell-test-context.support.ts
+++ b/packages/cell/src/owner/cell-test-context.support.ts
@@ -1,13 +1,13 @@
-/** What the steps about a cell have in common. */
+/** State and helpers of the steps about a cell. */
 import assert from 'node:assert/strict';
 import type { JobRequest, Step } from '../job/submission.js';
 import { CellWorld, eventually, submit } from '../testing/cell-world.support.js';
 
-/** What the steps of a scenario share. */
+/** State that the steps of a scenario share. */
 export interface CellTestContext {
   cell?: CellWorld;
   jobs: string[];
-  /** The owner's row as it was. */
+  /** Owner row before a fault. */
   ownerRow?: Buffer | undefined;
 }
 
@@ -22,7 +22,7 @@
   return cell;
 }
 
-/** The first job that was handed in. */
+/** The first job that was submitted. */
 export function firstJob({ jobs }: CellTestContext): string {
   const [id] = jobs;
   assert.ok(id !== undefined);
@@ -36,7 +36,7 @@
   return owner;
 }
 
-/** One that doesn't. */
+/** An entry that doesn't own the cell. */
 export function nonOwnerEntry(world: CellTestContext): Entry {
   const owner = ownerEntry(world);
   const other = cellOf(world).entries.find((entry) => entry !== owner);
@@ -44,14 +44,14 @@
   return other;
 }
 
-/** A worker on which something runs. */
+/** A worker with a running task. */
 export function runningWorker(world: CellTestContext): Worker {
   const worker = cellOf(world).workers.find(({ runner }) => runner.life?.running().length);
   assert.ok(worker);
   return worker;
 }
 
-/** Hands a job in, at an entry that does not own the cell unless said otherwise. */
+/** Submits a job, by default to an entry that doesn't own the cell. */
 export async function submitJob(
   world: CellTestContext,
   options: { steps?: Step[]; spec?: object; schedule?: JobRequest['schedule']; entry?: Entry },
@@ -63,7 +63,7 @@
   assert.equal(await submit(entry, id, job), 'accepted');
 }
 
-/** Waits until something runs. */
+/** Waits until a task is running. */
 export async function waitUntilRunning(world: CellTestContext): Promise<void> {
   const running = () => cellOf(world).workers.some(({ runner }) => runner.life?.running().length);
   assert.ok(await eventually(() => running() ?? false));
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -30,50 +30,50 @@
   await this.cell?.stop();
 });
 
-Then('its second run has begun within 1 s', async function (this: CellTestContext) {
+Then('its second run has started within 1 s', async function (this: CellTestContext) {
   const hasTwo = (): boolean => cellOf(this).starts(firstJob(this)).length === 2;
   assert.ok(await eventually(hasTwo, 1000));
 });
 
-When('a job is handed in at that entry', async function (this: CellTestContext) {
+When('a job is submitted to that entry', async function (this: CellTestContext) {
   const cutOff = cellOf(this).entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
   await submitJob(this, { entry: cutOff });
 });
 
 When(
-  'a job of two steps, the second after the first, is handed in',
+  'a job of two steps, the second after the first, is submitted',
   async function (this: CellTestContext) {
     const steps = [testStep({ tasks: 2 }), testStep({ after: [0] })];
     await submitJob(this, { steps, spec: { workMs: 150 } });
   },
 );
 
-When('a gang of {int} tasks is handed in', async function (this: CellTestContext, tasks: number) {
+When('a gang of {int} tasks is submitted', async function (this: CellTestContext, tasks: number) {
   const steps = [testStep({ tasks, gang: true, demand: gangDemand() })];
   await submitJob(this, { steps, spec: { workMs: 150, gangs: { 0: tasks } } });
 });
 
-/** Two members to a worker, so that a gang spans several. */
+/** Demand of which two members fit on a worker, so that a gang spans several workers. */
 function gangDemand(): Step['demand'] {
   return { milliCores: 1000, memoryMb: 100, accelerators: 4 };
 }
 
-When('a job whose first run fails is handed in', async function (this: CellTestContext) {
+When('a job whose first run fails is submitted', async function (this: CellTestContext) {
   await submitJob(this, { spec: { workMs: 50, failRuns: 1 } });
 });
 
-When('a job whose runs all fail is handed in', async function (this: CellTestContext) {
+When('a job whose runs all fail is submitted', async function (this: CellTestContext) {
   await submitJob(this, { spec: { workMs: 50, failRuns: 9 } });
 });
 
-When('a job that takes long is handed in and has begun', async function (this: CellTestContext) {
+When('a long job is submitted and has started', async function (this: CellTestContext) {
   await submitJob(this, { steps: [testStep({ tasks: 3 })], spec: { workMs: 60_000 } });
   await waitUntilRunning(this);
 });
 
 When(
-  /^a job that takes (\d) s is handed in and has begun$/,
+  /^a job that takes (\d) s is submitted and has started$/,
   async function (this: CellTestContext, seconds: string) {
     await submitJob(this, { spec: { workMs: Number(seconds) * 1000 } });
     await waitUntilRunning(this);
@@ -81,7 +81,7 @@
 );
 
 When(
-  'a job that takes 3 s is handed in at the owner and has begun',
+  'a job that takes 3 s is submitted to the owner and has started',
   async function (this: CellTestContext) {
     await submitJob(this, { spec: { workMs: 3000 }, entry: ownerEntry(this) });
     await waitUntilRunning(this);
@@ -89,7 +89,7 @@
 );
 
 When(
-  'a job that is said to take 6 s is handed in and has begun',
+  'a job with an estimate of 6 s is submitted and has started',
   async function (this: CellTestContext) {
     await submitJob(this, { steps: [testStep({ estimateMs: 6000 })], spec: { workMs: 6000 } });
     await waitUntilRunning(this);
@@ -97,14 +97,14 @@
 );
 
 When(
-  /^a job that takes (\d) s is handed in$/,
+  /^a job that takes (\d) s is submitted$/,
   async function (this: CellTestContext, seconds: string) {
     await submitJob(this, { spec: { workMs: Number(seconds) * 1000 } });
   },
 );
 
 When(
-  /^a job with checkpoints that takes (\d) s is handed in and has worked for \d s$/,
+  /^a job with checkpoints that takes (\d) s is submitted and has run for \d s$/,
   async function (this: CellTestContext, seconds: string) {
     const steps = [testStep({ checkpointing: true })];
     await submitJob(this, { steps, spec: { workMs: Number(seconds) * 1000, checkpointMs: 100 } });
@@ -121,7 +121,7 @@
   assert.equal(outcome, 'cancelled');
 });
 
-When('the same job is handed in at both entries at once', async function (this: CellTestContext) {
+When('the same job is submitted to both entries at once', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
@@ -130,7 +130,7 @@
 });
 
 When(
-  'a job is handed in at that entry, and again at the other',
+  'a job is submitted to that entry, and again to the other',
   async function (this: CellTestContext) {
     const cell = cellOf(this);
     const id = cell.newJobId();
@@ -142,7 +142,7 @@
   },
 );
 
-When('a job is handed in at the other entry', async function (this: CellTestContext) {
+When('a job is submitted to the other entry', async function (this: CellTestContext) {
   await submitJob(this, {});
 });
 
@@ -157,7 +157,7 @@
   assert.ok(await eventually(async () => (await states()).every((s) => s === 'completed')));
 });
 
-Then('no row of it is left soon after', async function (this: CellTestContext) {
+Then('its rows are removed soon after', async function (this: CellTestContext) {
   const cell = cellOf(this);
   const isGone = () =>
     cell.tables
@@ -166,7 +166,7 @@
   assert.ok(await eventually(isGone, 4000));
 });
 
-Then('a job handed in is refused as not accepted', async function (this: CellTestContext) {
+Then('a submitted job is refused as not accepted', async function (this: CellTestContext) {
   assert.equal(await submit(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
 });
 
@@ -179,7 +179,7 @@
   assert.equal(await cellOf(this).state(firstJob(this)), 'cancelled');
 });
 
-Then('its second step began after all of the first had ended', function (this: CellTestContext) {
+Then('its second step started after all of the first had ended', function (this: CellTestContext) {
   const starts = cellOf(this).starts(firstJob(this));
   const second = starts.find(({ task }) => task.split('.')[2] === '1');
   const first = starts.filter(({ task }) => task.split('.')[2] === '0');
@@ -202,7 +202,7 @@
   assert.equal(cellOf(this).starts(firstJob(this)).length, times === 'once' ? 1 : 2);
 });
 
-Then('nothing of it runs soon after', async function (this: CellTestContext) {
+Then('none of its tasks runs soon after', async function (this: CellTestContext) {
   const running = () =>
     cellOf(this).workers.flatMap(({ runner }) => runner.life?.running() ?? []).length;
   assert.ok(await eventually(() => running() === 0, 2000));
@@ -217,13 +217,16 @@
   assert.ok(await eventually(() => cell.owner() !== before, 6000));
 });
 
-Then('its second run began later than the lease of the first', function (this: CellTestContext) {
-  const [first, second] = cellOf(this).starts(firstJob(this));
-  assert.ok(first && second);
-  assert.ok(second.at - first.at >= TEST_LEASE_MS * SLOW_CLOCK);
-});
+Then(
+  'its second run started after the lease of the first had ended',
+  function (this: CellTestContext) {
+    const [first, second] = cellOf(this).starts(firstJob(this));
+    assert.ok(first && second);
+    assert.ok(second.at - first.at >= TEST_LEASE_MS * SLOW_CLOCK);
+  },
+);
 
-Then('no two runs of its task were at work at a time', function (this: CellTestContext) {
+Then('no two runs of its task overlapped', function (this: CellTestContext) {
   const starts = cellOf(this).starts(firstJob(this));
   starts.slice(1).forEach(({ at }, index) => {
     const before = starts[index];
@@ -231,7 +234,7 @@
   });
 });
 
-Then('its second run continued from a checkpoint', function (this: CellTestContext) {
+Then('its second run resumed from a checkpoint', function (this: CellTestContext) {
   const [, second] = cellOf(this).starts(firstJob(this));
   assert.ok(Number(second?.checkpoint) >= 500);
 });
@@ -245,7 +248,7 @@
 );
 
 Then(
-  'a job handed in there is refused as not accepted within {int} ms',
+  'a job submitted there is refused as not accepted within {int} ms',
   async function (this: CellTestContext, limitMs: number) {
     const cell = cellOf(this);
     const startedAt = performance.now();
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -40,7 +40,7 @@
   const runsBefore = worker.assignments.size;
   worker.noteContact(registry.now(), contact.runner);
   if (contact.runner !== undefined && contact.runner.id !== earlierLife) {
-    registry.log('new runner life reported', {
+    registry.log('new runner incarnation reported', {
       vm: worker.vm,
       runner: contact.runner.id,
       earlierLife,
@@ -106,7 +106,7 @@
     (assignment) => assignment.runner === runner,
   );
   const unreported = assignedHere.filter((assignment) => !known.has(runKey(toRunName(assignment))));
-  // Stopped, and placed again once the runner has barred it.
+  // Stopped, and placed again once the runner has blocked it.
   unreported
     .filter((assignment) => registry.orders.lacksTicket(assignment))
     .forEach((assignment) => registry.stopRun(assignment, 'ticket expired'));
@@ -116,10 +116,10 @@
   const wanted = unreported.filter((assignment) => registry.orders.isWanted(assignment));
   const ordered = wanted.filter((assignment) => registry.orders.mayOrder(assignment, worker));
   const starts = ordered.map((assignment): StartOrder => registry.orders.orderFor(assignment));
-  // Neither reported nor to be started: a stop bars the run there, so that no late call starts it. Also runs of jobs that have
+  // Neither reported nor to be started: a stop blocks the run there, so that no late call starts it. Also runs of jobs that have
   // ended, since nothing else asks what became of them: a gang member whose step others completed would keep its room for good.
-  const barred = unreported.filter((each) => !wanted.includes(each)).map(toRunName);
-  const stops = [...runsToStop, ...barred].map(({ task, run }) => ({ task, run }));
+  const runsToBlock = unreported.filter((each) => !wanted.includes(each)).map(toRunName);
+  const stops = [...runsToStop, ...runsToBlock].map(({ task, run }) => ({ task, run }));
   // Neither reported nor ordered to start or stop.
   noteUnaccounted(
     registry,
@@ -192,9 +192,9 @@
 }
 
 /**
- * Handles a runner that was replaced without draining, and whose guard can't report what ran there because it was restarted
- * itself. Every run that had started there is counted, with unknown age: otherwise a task could go on crashing runners if the
- * guard is lost with each crash.
+ * Handles a runner that was replaced without draining, and whose guard can't report what ran there as it was restarted too.
+ * Counts a crash, at unknown age, against every run that had started there: otherwise a task could go on crashing runners if
+ * the guard is lost with each crash.
  */
 function noteUnreportedCrash(
   registry: RunRegistry,
@@ -211,8 +211,9 @@
 }
 
 /**
- * Marks runs as lost that can't be running: those of an earlier life of the runner, and all if the lease has lapsed. A run of an
- * earlier life that the new one reports may run there all the same: a start in flight reaches whichever life has the runner's id.
+ * Marks runs as lost that can't be running: those assigned to an earlier incarnation of the runner, and all if the lease has
+ * lapsed. A run of an earlier incarnation may run all the same if the present one reports it: a start in flight reaches whichever
+ * incarnation has the runner's id.
  */
 function markImpossibleRunsLost(registry: RunRegistry, worker: Worker, contact: CellContact): void {
   const { runner, running, inProgress } = contact;
@@ -220,9 +221,9 @@
   const isReported = (assignment: Assignment): boolean =>
     [...running, ...inProgress].some((run) => assignmentOf(worker, run) === assignment);
   [...worker.assignments.values()].forEach((assignment) => {
-    // Nearly always all runs are of the present life, and nothing has to be searched.
-    const isOfEarlierLife = assignment.runner !== runner.id && !isReported(assignment);
-    if (isOfEarlierLife) registry.markLost(worker, assignment, 'runner replaced');
+    // Nearly always all runs are of the present incarnation, and nothing has to be searched.
+    const isOfEarlierIncarnation = assignment.runner !== runner.id && !isReported(assignment);
+    if (isOfEarlierIncarnation) registry.markLost(worker, assignment, 'runner replaced');
     else if (runner.leaseLapsed) registry.markLost(worker, assignment, 'lease lapsed');
   });
 }
--- a/packages/cell/src/owner/crashing-tasks.feature
+++ b/packages/cell/src/owner/crashing-tasks.feature
@@ -1,17 +1,16 @@
 Feature: tasks that crash their runners
 
-  Callers saw jobs that were shown as running for good, and runs of others were lost again and again. A task crashed each runner
-  that started it, 10 ms after the start. The owner gave the run up once the runner was back as another life, and handed the task
-  to the next worker at once: 33 times within two minutes, over a change of owner and a loss of power. The cause: only ends that
-  a runner lists as failed counted against a task; an end with the runner's life counted for nothing, so nothing bounded the
-  starts. The evidence: each of these runs ended as lost with the job still open, the next one was assigned within 20 ms, in each
-  owner's term alike, and each runner was gone 10 ms after it had said yes to the start.
+  A task that crashes each runner that starts it, 10 ms after the start, must not be started without bound. Only ends that a
+  runner reported as failed counted against a task, not runs that ended with their runner. The owner marked such a run lost once
+  the runner was back as a new incarnation, with the job still open, and assigned the task to the next worker within 20 ms: 33
+  times within two minutes, over a change of owner and a power failure, in each term alike. Each runner was gone 10 ms after it
+  had accepted the start. Callers saw these jobs as running for good, and runs of others were lost again and again.
 
   After three crashes a task may be started twice more, and no third time.
 
-  Scenario Outline: a task under which three runners crashed is started no third time
+  Scenario Outline: a task that has crashed three runners is started at most twice more
     Given a cell of 2 entries and 3 workers
-    When <a job> is handed in
+    When <a job> is submitted
     And after its second start <something> happens
     Then it is given up
     And none of its tasks was started more than 5 times
@@ -22,29 +21,29 @@
       | a job whose runs all crash their runners             | the loss of the owner |
       | a gang of 3 tasks, one of which crashes its runners, | nothing               |
 
-  Scenario: a task whose runner crashes once under it is tried again
+  Scenario: a task whose runner crashes once is tried again
     Given a cell of 2 entries and 3 workers
-    When a job whose first run crashes its runner is handed in
+    When a job whose first run crashes its runner is submitted
     Then it completes
     And its task ran twice
 
-  Scenario: jobs beside it are not given up
+  Scenario: other jobs on the runner are not given up
     Given a cell of 2 entries and 1 worker
-    When 3 jobs that take 2 s are handed in
-    And a job whose runs all crash their runners is handed in
+    When 3 jobs that take 2 s are submitted
+    And a job whose runs all crash their runners is submitted
     Then the last of them is given up
     And the others complete
 
-  Scenario: a worker isn't put out of use for what a crash did
+  Scenario: a worker isn't quarantined because of a crash
     Given a cell of 2 entries and 3 workers
-    When 3 jobs that take 2 s are handed in
-    And a runner with work crashes and is away for 2.6 s
+    When 3 jobs that take 2 s are submitted
+    And a busy runner crashes and is gone for 2.6 s
     Then each of them completes
-    And no worker was closed
+    And no worker was quarantined
 
-  Scenario: crashes that no guard could tell of are reckoned with
+  Scenario: crashes that no guard could report are counted
     Given a cell of 2 entries and 3 workers
-    And a guard is started anew whenever the runner beside it crashes
-    When a job whose runs all crash their runners is handed in
+    And a guard restarts whenever its runner crashes
+    When a job whose runs all crash their runners is submitted
     Then it is given up
     And none of its tasks was started more than 5 times
--- a/packages/cell/src/owner/crashing-tasks.steps.ts
+++ b/packages/cell/src/owner/crashing-tasks.steps.ts
@@ -14,10 +14,10 @@
 /** Every run of the task crashes its runner. */
 const CRASH_EVERY_RUN = 99;
 
-/** Some crashes, each with the time until the runner is back, in ms. */
+/** Time for several crashes, each with the restart of the runner, in ms. */
 const GIVE_UP_TIMEOUT_MS = 15_000;
 
-/** States of a job that isn't over. */
+/** States of a job that hasn't ended. */
 const OPEN_STATES = ['queued', 'running'];
 
 function maxStartsPerTask(world: CellTestContext, job: string): number {
@@ -28,29 +28,26 @@
   return Math.max(0, ...counts.values());
 }
 
-Given(
-  'a guard is started anew whenever the runner beside it crashes',
-  function (this: CellTestContext) {
-    cellOf(this).crashesTakeGuards = true;
-  },
-);
+Given('a guard restarts whenever its runner crashes', function (this: CellTestContext) {
+  cellOf(this).crashesTakeGuards = true;
+});
 
 When(
-  'a job whose runs all crash their runners is handed in',
+  'a job whose runs all crash their runners is submitted',
   async function (this: CellTestContext) {
     await submitJob(this, { spec: { crashRuns: CRASH_EVERY_RUN } });
   },
 );
 
 When(
-  'a job whose first run crashes its runner is handed in',
+  'a job whose first run crashes its runner is submitted',
   async function (this: CellTestContext) {
     await submitJob(this, { spec: { crashRuns: 1, workMs: 300 } });
   },
 );
 
 When(
-  'a gang of {int} tasks, one of which crashes its runners, is handed in',
+  'a gang of {int} tasks, one of which crashes its runners, is submitted',
   async function (this: CellTestContext, tasks: number) {
     const demand = { milliCores: 1000, memoryMb: 100, accelerators: 8 };
     const steps = [testStep({ tasks, gang: true, demand })];
@@ -60,7 +57,7 @@
 );
 
 When(
-  '{int} jobs that take 2 s are handed in',
+  '{int} jobs that take 2 s are submitted',
   async function (this: CellTestContext, count: number) {
     for (let each = 0; each < count; each++) await submitJob(this, { spec: { workMs: 2000 } });
     const running = () =>
@@ -97,7 +94,7 @@
 });
 
 When(
-  /^a runner with work crashes and is away for (\d\.\d) s$/,
+  /^a busy runner crashes and is gone for (\d\.\d) s$/,
   function (this: CellTestContext, seconds: string) {
     const worker = runningWorker(this);
     assert.ok((worker.runner.life?.running().length ?? 0) > 1);
@@ -111,9 +108,9 @@
   async function (this: CellTestContext, which: string) {
     const jobs = which.startsWith('each') ? this.jobs : this.jobs.slice(0, -1);
     const states = (): Promise<string[]> => Promise.all(jobs.map((id) => cellOf(this).state(id)));
-    const areOver = async (): Promise<boolean> =>
+    const haveEnded = async (): Promise<boolean> =>
       (await states()).every((state) => !OPEN_STATES.includes(state));
-    assert.ok(await eventually(areOver, GIVE_UP_TIMEOUT_MS));
+    assert.ok(await eventually(haveEnded, GIVE_UP_TIMEOUT_MS));
     assert.deepEqual(
       await states(),
       jobs.map(() => 'completed'),
@@ -121,7 +118,7 @@
   },
 );
 
-Then('no worker was closed', function (this: CellTestContext) {
+Then('no worker was quarantined', function (this: CellTestContext) {
   const closed = cellOf(this).entries.map(({ metrics }) => metrics.counters.get('worker.closed'));
   assert.deepEqual(
     closed,
--- a/packages/cell/src/owner/owner-election.ts
+++ b/packages/cell/src/owner/owner-election.ts
@@ -149,7 +149,7 @@
     this.#options.events.onLost(reason);
   }
 
-  /** Sends a write that expects the owner row, with a heartbeat in it: a slow store runs few transactions. */
+  /** Sends a write that expects the owner row, and adds a heartbeat to it, since a slow store runs few transactions. */
   async transact(tx: Transaction, options: { timeoutMs: number }): Promise<TransactResult> {
     const held = this.#held;
     const sentAt = this.#now();
--- a/packages/cell/src/owner/progress-writer.feature
+++ b/packages/cell/src/owner/progress-writer.feature
@@ -1,16 +1,16 @@
-Feature: progress is written under the owner's row, and only onto what the owner knows
+Feature: progress is written only by the current owner, and only onto progress that it knows
 
-  Scenario: a job whose rows were removed isn't begun
-    Given a writer of a cell's owner
+  Scenario: a job whose rows were removed isn't started
+    Given the progress writer of a cell's owner
     When it writes the progress of a job without rows
-    Then the job is given up and nothing is written
+    Then the job is dropped and nothing is written
 
-  Scenario: an own write whose answer was lost is gone on from
-    Given a writer of a cell's owner
-    When the answer to a job's progress is lost and the job goes on
+  Scenario: the writer continues from its own write whose answer was lost
+    Given the progress writer of a cell's owner
+    When the answer to a write of a job's progress is lost and the job goes on
     Then the newest progress is in the store
 
-  Scenario: progress of a stranger ends the term
-    Given a writer of a cell's owner
-    When a job's progress was written by somebody else
-    Then the term is over and the stranger's progress stands
+  Scenario: progress from another writer ends the term
+    Given the progress writer of a cell's owner
+    When another writer has written a job's progress
+    Then the term ends and the other writer's progress stays
--- a/packages/cell/src/owner/progress-writer.steps.ts
+++ b/packages/cell/src/owner/progress-writer.steps.ts
@@ -24,7 +24,7 @@
 const SUBMISSION = testSubmission({});
 const PROGRESS_KEY = jobRowKey(SUBMISSION.id, 'progress');
 const CONFIG_KEY = { table: 'operator', part: '', key: 'configuration' };
-const FOREIGN_PROGRESS = Buffer.from('of a stranger');
+const FOREIGN_PROGRESS = Buffer.from('of another writer');
 
 function newJob(submissionVersion: number): OwnedJob {
   return testOwnedJob(SUBMISSION, { submissionVersion });
@@ -49,7 +49,7 @@
   writer.markDirty(job);
 }
 
-Given("a writer of a cell's owner", function (this: WriterScenario) {
+Given("the progress writer of a cell's owner", function (this: WriterScenario) {
   this.tables = new RowTables();
   this.store = new MemoryRowStore(this.tables);
   this.removed = [];
@@ -77,7 +77,7 @@
 });
 
 When(
-  "the answer to a job's progress is lost and the job goes on",
+  "the answer to a write of a job's progress is lost and the job goes on",
   async function (this: WriterScenario) {
     writeSubmission(this);
     this.store.fault = 'lost';
@@ -88,13 +88,13 @@
   },
 );
 
-When("a job's progress was written by somebody else", function (this: WriterScenario) {
+When("another writer has written a job's progress", function (this: WriterScenario) {
   writeSubmission(this);
   putRow(this.tables, PROGRESS_KEY, FOREIGN_PROGRESS);
   startRun(this);
 });
 
-Then('the job is given up and nothing is written', async function (this: WriterScenario) {
+Then('the job is dropped and nothing is written', async function (this: WriterScenario) {
   assert.ok(await eventually(() => this.removed.includes(this.job)));
   assert.equal(this.tables.get(PROGRESS_KEY), undefined);
   assert.deepEqual(this.deposed, []);
@@ -109,7 +109,7 @@
   assert.deepEqual(this.deposed, []);
 });
 
-Then("the term is over and the stranger's progress stands", async function (this: WriterScenario) {
+Then("the term ends and the other writer's progress stays", async function (this: WriterScenario) {
   assert.ok(await eventually(() => this.deposed.length === 1));
   await pause(50);
   assert.deepEqual(this.tables.get(PROGRESS_KEY)?.value, FOREIGN_PROGRESS);
--- a/packages/cell/src/owner/returning-runners.feature
+++ b/packages/cell/src/owner/returning-runners.feature
@@ -39,7 +39,7 @@
   Scenario: a run that was there is over, and goes on under a new number
     Given a cell of 2 entries and 1 worker
     And runners keep their ids when they start again
-    When 2 jobs that take 2 s are handed in
+    When 2 jobs that take 2 s are submitted
     And the runner returns
     Then each of them completes
     And each run was started once
@@ -47,7 +47,7 @@
   Scenario Outline: the same while others are lost too
     Given a cell of 2 entries and 2 workers
     And runners keep their ids when they start again
-    When 2 jobs that take 2 s are handed in
+    When 2 jobs that take 2 s are submitted
     And each runner returns while <something> is lost
     Then each of them completes
     And each run was started once
@@ -93,7 +93,7 @@
   Scenario: the loss of a new life is noticed, also for tasks that crash their runners
     Given a cell of 2 entries and 3 workers
     And runners keep their ids when they start again
-    When a job whose runs all crash their runners is handed in
+    When a job whose runs all crash their runners is submitted
     Then it is given up
     And none of its tasks was started more than 5 times
 
@@ -118,7 +118,7 @@
     Given a cell of 3 entries and 4 workers
     And runners keep their ids when they start again
     When a gang of 3 tasks of whole workers is handed in and completes
-    And 6 jobs that take 2 s are handed in
+    And 6 jobs that take 2 s are submitted
     And all entries and guards are lost, and all runners return
     Then each of them completes
     And each run was started once
--- a/packages/cell/src/owner/returning-runners.steps.ts
+++ b/packages/cell/src/owner/returning-runners.steps.ts
@@ -40,7 +40,7 @@
   const life = worker.lives.at(-1);
   const knows = (): boolean =>
     cellOf(world)
-      .logged('new runner life reported')
+      .logged('new runner incarnation reported')
       .some(
         ({ vm, runner }) => vm === worker.id && life !== undefined && runner === lifeName(life),
       );
--- a/packages/cell/src/owner/run-registry.ts
+++ b/packages/cell/src/owner/run-registry.ts
@@ -35,7 +35,7 @@
 
   readonly fleet: Fleet;
 
-  /** Decides which starts guards may be ordered. */
+  /** Decides which starts may be ordered from guards. */
   readonly orders: StartOrders;
 
   readonly #ctx: ProcessContext;
@@ -205,10 +205,10 @@
   recordFault(worker: Worker, task: string, what: string): void {
     if (!this.#health.noteFault(worker.health, task, this.now())) return;
     this.#ctx.metrics.count('worker.closed');
-    this.log('worker closed to new runs', { vm: worker.vm, what, task });
+    this.log('worker quarantined', { vm: worker.vm, what, task });
   }
 
-  /** Has checkpoints that guards reported written, so that they survive this owner and the runners. */
+  /** Schedules writes of the reported checkpoints, so that they survive this owner and the runners. */
   persistCheckpoints(): void {
     if (this.now() - this.#checkpointsWrittenAt < CHECKPOINT_WRITE_INTERVAL_MS) return;
     this.#checkpointsWrittenAt = this.now();
@@ -220,7 +220,7 @@
     );
   }
 
-  /** Ends a run as lost that certainly isn't running any more, or never was, although no end of it was reported. */
+  /** Ends a run as lost: it certainly isn't running any more, or never was, although no end of it was reported. */
   markLost(worker: Worker, assignment: Assignment, reason: string): void {
     worker.assignments.delete(assignment.name);
     const { jobId, ref, run, checkpoint } = assignment;
