--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -47,9 +47,11 @@
 
 Given('an entry whose reads of the configuration fail', function (this: CellTestContext) {
   const { store } = nonOwnerEntry(this);
-  const read = store.read.bind(store);
+  const originalRead = store.read.bind(store);
   store.read = async (range, options) =>
-    range.table === 'operator' ? { outcome: 'failed', detail: 'frozen' } : read(range, options);
+    range.table === 'operator'
+      ? { outcome: 'failed', detail: 'frozen' }
+      : originalRead(range, options);
 });
 
 Given('an owner whose feed is stalled', async function (this: CellTestContext) {
