--- a/packages/cell/src/entry/entry-scaling.feature
+++ b/packages/cell/src/entry/entry-scaling.feature
@@ -30,7 +30,7 @@
 
   Scenario: a state that was read before is reported while the store is unavailable
     Given a cell of 3 entries and 1 workers
-    When a job that takes long is handed in and has begun
+    When a long job is submitted and has started
     And every entry has reported its state, and the store becomes unavailable
     Then every entry reports that it is running
 
--- a/packages/cell/src/owner/restarting-runners.feature
+++ b/packages/cell/src/owner/restarting-runners.feature
@@ -38,7 +38,7 @@
   Scenario: a run that was there is lost, and its task runs again under a new number
     Given a cell of 2 entries and 1 worker
     And runners keep their ids when they restart
-    When 2 jobs that take 2 s are handed in
+    When 2 jobs that take 2 s are submitted
     And the runner restarts
     Then each of them completes
     And each run was started once
@@ -46,7 +46,7 @@
   Scenario Outline: the same while another process is lost too
     Given a cell of 2 entries and 2 workers
     And runners keep their ids when they restart
-    When 2 jobs that take 2 s are handed in
+    When 2 jobs that take 2 s are submitted
     And each runner restarts while <something> is lost
     Then each of them completes
     And each run was started once
@@ -92,7 +92,7 @@
   Scenario: the loss of a new incarnation is detected, also for tasks that crash their runners
     Given a cell of 2 entries and 3 workers
     And runners keep their ids when they restart
-    When a job whose runs all crash their runners is handed in
+    When a job whose runs all crash their runners is submitted
     Then it is given up
     And none of its tasks was started more than 5 times
 
@@ -117,7 +117,7 @@
     Given a cell of 3 entries and 4 workers
     And runners keep their ids when they restart
     When a gang of 3 whole-worker tasks is submitted and completes
-    And 6 jobs that take 2 s are handed in
+    And 6 jobs that take 2 s are submitted
     And all entries and guards are lost, and all runners restart
     Then each of them completes
     And each run was started once
--- a/packages/cell/src/owner/restarting-runners.steps.ts
+++ b/packages/cell/src/owner/restarting-runners.steps.ts
@@ -40,7 +40,7 @@
   const incarnation = worker.lives.at(-1);
   const knows = (): boolean =>
     cellOf(world)
-      .logged('new runner life reported')
+      .logged('new runner incarnation reported')
       .some(
         ({ vm, runner }) =>
           vm === worker.id && incarnation !== undefined && runner === incarnationId(incarnation),
