--- a/packages/bench/src/capacity/guard-host.ts
+++ b/packages/bench/src/capacity/guard-host.ts
@@ -9,7 +9,7 @@
   type GuardSettings,
 } from '@zincspan/core';
 import { Guard } from '@zincspan/guard';
-import { linkTraffic, type Traffic } from '@zincspan/link';
+import { totalLinkTraffic, type Traffic } from '@zincspan/link';
 import { startWorker } from '@zincspan/stand-ins';
 import { answerOrders, hostArgument } from './child-host.js';
 
@@ -99,7 +99,7 @@
 
 function figures(): GuardHostFigures {
   return {
-    traffic: hosted.map(({ ctx }) => linkTraffic(ctx)),
+    traffic: hosted.map(({ ctx }) => totalLinkTraffic(ctx)),
     lowestVersion: Math.min(...hosted.map(({ keeper }) => keeper.version)),
     lastTakenAt,
   };
--- a/packages/bench/src/capacity/relay-host.ts
+++ b/packages/bench/src/capacity/relay-host.ts
@@ -1,6 +1,6 @@
 /** Accepts links as a relay of guards would, under a guard's Node flags. */
 import { quietContext } from '@zincspan/core';
-import { LinkServer, linkTraffic, type Traffic } from '@zincspan/link';
+import { LinkServer, totalLinkTraffic, type Traffic } from '@zincspan/link';
 import { answerOrders, hostArgument } from './child-host.js';
 
 /** Key and heartbeats of the links. */
@@ -27,5 +27,5 @@
 const address = await server.start();
 
 answerOrders<object, RelayFigures>(() =>
-  Promise.resolve({ address, links: server.links().length, traffic: linkTraffic(ctx) }),
+  Promise.resolve({ address, links: server.links().length, traffic: totalLinkTraffic(ctx) }),
 );
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -8,7 +8,7 @@
   ProcessContext,
   Table,
 } from '@zincspan/core';
-import { linkTraffic, listenProblem } from '@zincspan/link';
+import { totalLinkTraffic, listenProblem } from '@zincspan/link';
 import type { EntryApp, EntryAppFactory, EntryDeps } from './app.js';
 import type { BundleSource } from './bundle-source.js';
 import { AccountDirectory } from './http/account-directory.js';
@@ -125,7 +125,7 @@
   /** Status of every part by its name. */
   status(): Record<string, unknown> {
     const parts = this.#apps.map((app) => [app.name, app.status?.() ?? {}]);
-    const traffic = linkTraffic(this.#ctx);
+    const traffic = totalLinkTraffic(this.#ctx);
     return { draining: this.#gate.isDraining, traffic, ...Object.fromEntries(parts) };
   }
 
--- a/packages/guard/src/guard.ts
+++ b/packages/guard/src/guard.ts
@@ -8,7 +8,7 @@
   type ProcessContext,
   type Upstream,
 } from '@zincspan/core';
-import { linkTraffic } from '@zincspan/link';
+import { totalLinkTraffic } from '@zincspan/link';
 import { EntryLinks } from './entry-link/entry-links.js';
 import { gangApp } from './gang/app.js';
 import { GangKeeper } from './gang/gang-keeper.js';
@@ -154,7 +154,7 @@
       requests: this.#runner.load,
       tasks: this.#keeper.active,
       entriesLinked: this.#links.links().length,
-      traffic: linkTraffic(this.#ctx),
+      traffic: totalLinkTraffic(this.#ctx),
     };
   }
 
--- a/packages/link/src/accepted-peers.ts
+++ b/packages/link/src/accepted-peers.ts
@@ -7,43 +7,51 @@
  */
 import type { ProcessId } from '@zincspan/core';
 import type { Link } from './link.js';
-import { LinkFault } from './options.js';
+import { LinkCloseError } from './link-options.js';
 
-interface Accepted {
+interface AcceptedPeer {
   incarnation: string;
   bornAt: number;
   link: Link | undefined;
   /** Incarnations replaced here, latest last. */
-  retired: string[];
+  replacedIncarnations: string[];
 }
 
-const RETIRED_KEPT = 8;
-const PROCESSES_KEPT = 8192;
+const MAX_REPLACED_INCARNATIONS = 8;
+const MAX_PROCESSES = 8192;
 
 /** Links accepted by one server, by process id. Only authenticated ones come here. */
 export class AcceptedPeers {
-  readonly #processes = new Map<string, Accepted>();
+  readonly #processes = new Map<string, AcceptedPeer>();
 
   /** Throws LinkFault `stale-incarnation` if this incarnation may not replace the one known. */
-  check({ id, incarnation }: ProcessId, bornAt: number): void {
+  checkIncarnation({ id, incarnation }: ProcessId, bornAt: number): void {
     const known = this.#processes.get(id);
     if (!known || known.incarnation === incarnation) return;
-    const replaced = known.retired.includes(incarnation);
-    const older = known.link !== undefined && !known.link.closed && bornAt < known.bornAt;
-    if (!replaced && !older) return;
-    throw new LinkFault('stale-incarnation', `Incarnation ${incarnation} of ${id} was replaced.`);
+    const wasReplaced = known.replacedIncarnations.includes(incarnation);
+    const startedEarlier = known.link !== undefined && !known.link.closed && bornAt < known.bornAt;
+    if (!wasReplaced && !startedEarlier) return;
+    throw new LinkCloseError(
+      'stale-incarnation',
+      `Incarnation ${incarnation} of ${id} was replaced.`,
+    );
   }
 
   /** Puts a checked link in the place of the older one, which is closed. */
-  put(link: Link, bornAt: number): void {
+  acceptLink(link: Link, bornAt: number): void {
     const { id, incarnation } = link.process;
     const known = this.#processes.get(id);
-    const retired = known?.retired ?? [];
-    if (known && known.incarnation !== incarnation) retired.push(known.incarnation);
+    const replacedIncarnations = known?.replacedIncarnations ?? [];
+    if (known && known.incarnation !== incarnation) replacedIncarnations.push(known.incarnation);
     known?.link?.close('superseded', 'A newer link of the same process took over.');
     this.#processes.delete(id);
-    this.#processes.set(id, { incarnation, bornAt, link, retired: retired.slice(-RETIRED_KEPT) });
-    this.#trim();
+    this.#processes.set(id, {
+      incarnation,
+      bornAt,
+      link,
+      replacedIncarnations: replacedIncarnations.slice(-MAX_REPLACED_INCARNATIONS),
+    });
+    this.#evictClosed();
   }
 
   links(): Link[] {
@@ -52,9 +60,9 @@
     );
   }
 
-  #trim(): void {
-    if (this.#processes.size <= PROCESSES_KEPT) return;
-    const gone = [...this.#processes].find(([, { link }]) => !link || link.closed);
-    if (gone) this.#processes.delete(gone[0]);
+  #evictClosed(): void {
+    if (this.#processes.size <= MAX_PROCESSES) return;
+    const evictable = [...this.#processes].find(([, { link }]) => !link || link.closed);
+    if (evictable) this.#processes.delete(evictable[0]);
   }
 }
--- a/packages/link/src/dialer.ts
+++ b/packages/link/src/dialer.ts
@@ -3,19 +3,19 @@
 import { WebSocket } from 'ws';
 import type { ProcessId } from '@zincspan/core';
 import { MAX_FRAME_BYTES } from './frame.js';
-import { respond } from './handshake.js';
+import { runDialerHandshake } from './handshake.js';
 import { Link } from './link.js';
 import {
-  DEFAULT_LIMITS,
-  LinkFault,
+  DEFAULT_LINK_LIMITS,
+  LinkCloseError,
   callHook,
   type LinkLimits,
   type LinkOptions,
-} from './options.js';
-import { FrameSocket } from './socket.js';
+} from './link-options.js';
+import { FrameSocket } from './frame-socket.js';
 
 /** Waits between dials, in ms. The first redial after a link that was up comes at once. */
-export interface Backoff {
+export interface RedialBackoff {
   firstMs: number;
   maxMs: number;
 }
@@ -25,12 +25,12 @@
   address: string;
   /** Refuses any other process at the address. */
   expectId?: string;
-  backoff?: Partial<Backoff>;
+  backoff?: Partial<RedialBackoff>;
   /** For jitter: 0 to 1. */
   random?: () => number;
 }
 
-const DEFAULT_BACKOFF: Backoff = { firstMs: 50, maxMs: 2000 };
+const DEFAULT_REDIAL_BACKOFF: RedialBackoff = { firstMs: 50, maxMs: 2000 };
 
 /** Dials until it is closed. */
 export class Dialer {
@@ -38,26 +38,26 @@
 
   readonly #limits: LinkLimits;
 
-  readonly #backoff: Backoff;
+  readonly #backoff: RedialBackoff;
 
   #link: Link | undefined;
 
-  #endAttempt: ((fault: LinkFault) => void) | undefined;
+  #endConnection: ((closeError: LinkCloseError) => void) | undefined;
 
-  #timer: NodeJS.Timeout | undefined;
+  #redialTimer: NodeJS.Timeout | undefined;
 
   #handshakeTimer: NodeJS.Timeout | undefined;
 
   #failures = 0;
 
-  #upSince = 0;
+  #linkUpAt = 0;
 
   #closed = false;
 
   constructor(options: DialerOptions) {
     this.#options = options;
-    this.#limits = { ...DEFAULT_LIMITS, ...options.limits };
-    this.#backoff = { ...DEFAULT_BACKOFF, ...options.backoff };
+    this.#limits = { ...DEFAULT_LINK_LIMITS, ...options.limits };
+    this.#backoff = { ...DEFAULT_REDIAL_BACKOFF, ...options.backoff };
   }
 
   /** The live link, if there is one. */
@@ -72,9 +72,9 @@
   /** Ends the link and stops dialling. */
   close(): void {
     this.#closed = true;
-    clearTimeout(this.#timer);
+    clearTimeout(this.#redialTimer);
     if (this.#link) this.#link.close();
-    else this.#endAttempt?.(new LinkFault('unreachable', 'The dialer was closed.'));
+    else this.#endConnection?.(new LinkCloseError('unreachable', 'The dialer was closed.'));
   }
 
   #dial(): void {
@@ -83,52 +83,52 @@
       maxPayload: MAX_FRAME_BYTES,
     });
     let state: 'dialling' | 'upgraded' | 'over' = 'dialling';
-    const end = (fault: LinkFault): void => {
+    const end = (closeError: LinkCloseError): void => {
       if (state === 'over') return;
       state = 'over';
       clearTimeout(this.#handshakeTimer);
-      if (fault.reason !== 'closed') socket.terminate();
-      this.#noteEnd(fault);
+      if (closeError.reason !== 'closed') socket.terminate();
+      this.#handleEnd(closeError);
     };
-    this.#endAttempt = end;
+    this.#endConnection = end;
     this.#handshakeTimer = setTimeout(
-      () => end(new LinkFault('handshake-timeout', 'The handshake took too long.')),
-      this.#limits.handshakeMs,
+      () => end(new LinkCloseError('handshake-timeout', 'The handshake took too long.')),
+      this.#limits.handshakeTimeoutMs,
     );
     // Once upgraded, the frame socket reports errors more closely.
     socket.on('error', ({ message }) => {
-      if (state === 'dialling') end(new LinkFault('unreachable', message));
+      if (state === 'dialling') end(new LinkCloseError('unreachable', message));
     });
     socket.on('upgrade', (res: IncomingMessage) => {
       state = 'upgraded';
       res.socket.setNoDelay(true);
-      this.#shakeHands(socket, res, end);
+      this.#startHandshake(socket, res, end);
     });
   }
 
-  #shakeHands(
+  #startHandshake(
     ws: WebSocket,
     { socket: transport }: IncomingMessage,
-    end: (fault: LinkFault) => void,
+    end: (closeError: LinkCloseError) => void,
   ): void {
     const { ctx, keys, bornAt = performance.timeOrigin, expectId } = this.#options;
     const socket = new FrameSocket({
       socket: ws,
       transport,
-      outgoingBytes: this.#limits.outgoingBytes,
+      maxBufferedBytes: this.#limits.maxBufferedBytes,
       onEnd: end,
     });
-    respond(socket, { self: ctx.self, bornAt, keys }, (process) => {
+    runDialerHandshake(socket, { self: ctx.self, bornAt, keys }, (process) => {
       if (expectId !== undefined && process.id !== expectId) {
-        throw new LinkFault('wrong-peer', `Expected ${expectId}, found ${process.id}.`);
+        throw new LinkCloseError('wrong-peer', `Expected ${expectId}, found ${process.id}.`);
       }
       clearTimeout(this.#handshakeTimer);
-      this.#open(socket, process);
+      this.#openLink(socket, process);
     });
   }
 
-  #open(socket: FrameSocket, process: ProcessId): void {
-    this.#upSince = this.#options.ctx.clock.now();
+  #openLink(socket: FrameSocket, process: ProcessId): void {
+    this.#linkUpAt = this.#options.ctx.clock.now();
     this.#link = new Link({ options: this.#options, limits: this.#limits, socket, process });
     this.#options.ctx.metrics.count('link.dialled');
     const { ctx, onPeer } = this.#options;
@@ -136,19 +136,19 @@
     callHook(ctx, () => onPeer?.(link));
   }
 
-  #noteEnd(fault: LinkFault): void {
-    this.#options.ctx.metrics.count(`link.closed.${fault.reason}`);
-    this.#endAttempt = undefined;
+  #handleEnd(closeError: LinkCloseError): void {
+    this.#options.ctx.metrics.count(`link.closed.${closeError.reason}`);
+    this.#endConnection = undefined;
     const link = this.#link;
     this.#link = undefined;
-    link?.handleEnd(fault);
+    link?.handleEnd(closeError);
     if (this.#closed) return;
-    const upMs = link === undefined ? 0 : this.#options.ctx.clock.now() - this.#upSince;
-    this.#timer = setTimeout(() => this.#dial(), this.#nextWaitMs(upMs));
+    const upMs = link === undefined ? 0 : this.#options.ctx.clock.now() - this.#linkUpAt;
+    this.#redialTimer = setTimeout(() => this.#dial(), this.#redialDelayMs(upMs));
   }
 
   /** A link that held is redialled at once; one that falls again and again is not. */
-  #nextWaitMs(upMs: number): number {
+  #redialDelayMs(upMs: number): number {
     const { firstMs, maxMs } = this.#backoff;
     if (upMs > maxMs) {
       this.#failures = 0;
--- a/packages/link/src/socket.ts
+++ b/packages/link/src/frame-socket.ts
@@ -1,8 +1,8 @@
 /** One WebSocket with frames on it: bounded both ways, its end reported once. */
 import type { Duplex } from 'node:stream';
 import type { WebSocket } from 'ws';
-import { MAX_FRAME_BYTES, decode, encode } from './frame.js';
-import { LinkFault } from './options.js';
+import { MAX_FRAME_BYTES, decodeFrame, encodeFrame } from './frame.js';
+import { LinkCloseError } from './link-options.js';
 import type { Traffic } from './traffic.js';
 
 /** `outgoingBytes` bounds what is written but not yet taken by the network. */
@@ -10,15 +10,15 @@
   socket: WebSocket;
   /** The TCP connection below, for the count of bytes received. */
   transport: Duplex;
-  outgoingBytes: number;
-  onEnd: (fault: LinkFault) => void;
+  maxBufferedBytes: number;
+  onEnd: (closeError: LinkCloseError) => void;
 }
 
 /** What became of a frame. `full`: the outgoing bound is reached. */
 export type SendResult = 'sent' | 'closed' | 'full' | 'too-long';
 
 /** Error codes of ws for frames over its `maxPayload`. */
-const TOO_LONG = 'WS_ERR_UNSUPPORTED_MESSAGE_LENGTH';
+const WS_MESSAGE_TOO_LONG = 'WS_ERR_UNSUPPORTED_MESSAGE_LENGTH';
 
 /** Sends and receives frames until its end. */
 export class FrameSocket {
@@ -30,21 +30,21 @@
 
   readonly #frames = { framesIn: 0, framesOut: 0 };
 
-  readonly #outgoingBytes: number;
+  readonly #maxBufferedBytes: number;
 
-  readonly #onEnd: (fault: LinkFault) => void;
+  readonly #onEnd: (closeError: LinkCloseError) => void;
 
   #ended = false;
 
-  constructor({ socket, transport, outgoingBytes, onEnd }: FrameSocketOptions) {
+  constructor({ socket, transport, maxBufferedBytes, onEnd }: FrameSocketOptions) {
     this.#socket = socket;
     this.#transport = transport;
-    this.#outgoingBytes = outgoingBytes;
+    this.#maxBufferedBytes = maxBufferedBytes;
     this.#onEnd = onEnd;
-    socket.on('message', (data: Buffer, isBinary) => this.#read(data, isBinary));
-    socket.on('error', (err: Error & { code?: string }) => this.end(faultOf(err)));
+    socket.on('message', (data: Buffer, isBinary) => this.#handleMessage(data, isBinary));
+    socket.on('error', (err: Error & { code?: string }) => this.end(toCloseError(err)));
     socket.on('close', () =>
-      this.end(new LinkFault('closed-by-peer', 'The peer closed the link.')),
+      this.end(new LinkCloseError('closed-by-peer', 'The peer closed the link.')),
     );
   }
 
@@ -64,15 +64,15 @@
   }
 
   /** Who gets the frames from now on. It may throw LinkFault to end the socket. */
-  receive(onFrame: (frame: unknown) => void): void {
+  setFrameHandler(onFrame: (frame: unknown) => void): void {
     this.#onFrame = onFrame;
   }
 
   /** Writes a frame. Anything but `sent` means that it surely wasn't. */
   send(frame: object): SendResult {
     if (this.#ended || this.#socket.readyState !== this.#socket.OPEN) return 'closed';
-    if (this.#socket.bufferedAmount > this.#outgoingBytes) return 'full';
-    const bytes = encode(frame);
+    if (this.#socket.bufferedAmount > this.#maxBufferedBytes) return 'full';
+    const bytes = encodeFrame(frame);
     if (bytes.byteLength > MAX_FRAME_BYTES) return 'too-long';
     this.#socket.send(bytes);
     this.#frames.framesOut += 1;
@@ -80,29 +80,30 @@
   }
 
   /** Ends it at once, without waiting for the peer. */
-  end(fault: LinkFault): void {
+  end(closeError: LinkCloseError): void {
     if (this.#ended) return;
     this.#ended = true;
     // A graceful end flushes what was written; a silent peer must not hold the socket open.
-    if (fault.reason === 'closed') this.#socket.close(1000);
+    if (closeError.reason === 'closed') this.#socket.close(1000);
     else this.#socket.terminate();
-    this.#onEnd(fault);
+    this.#onEnd(closeError);
   }
 
-  #read(data: Buffer, isBinary: boolean): void {
+  #handleMessage(data: Buffer, isBinary: boolean): void {
     if (this.#ended) return;
     this.#frames.framesIn += 1;
     try {
-      if (!isBinary) throw new LinkFault('garbled', 'A text message came where frames are binary.');
-      this.#onFrame?.(decode(data));
+      if (!isBinary)
+        throw new LinkCloseError('garbled', 'A text message came where frames are binary.');
+      this.#onFrame?.(decodeFrame(data));
     } catch (err) {
-      this.end(err instanceof LinkFault ? err : new LinkFault('garbled', String(err)));
+      this.end(err instanceof LinkCloseError ? err : new LinkCloseError('garbled', String(err)));
     }
   }
 }
 
-function faultOf(err: Error & { code?: string }): LinkFault {
-  if (err.code === TOO_LONG) return new LinkFault('oversized', err.message);
-  if (err.code?.startsWith('WS_ERR')) return new LinkFault('garbled', err.message);
-  return new LinkFault('closed-by-peer', err.message);
+function toCloseError(err: Error & { code?: string }): LinkCloseError {
+  if (err.code === WS_MESSAGE_TOO_LONG) return new LinkCloseError('oversized', err.message);
+  if (err.code?.startsWith('WS_ERR')) return new LinkCloseError('garbled', err.message);
+  return new LinkCloseError('closed-by-peer', err.message);
 }
--- a/packages/link/src/frame.ts
+++ b/packages/link/src/frame.ts
@@ -39,7 +39,7 @@
   hlc,
   body: z.unknown(),
 });
-export const answerSchema = z.strictObject({
+export const responseSchema = z.strictObject({
   t: z.string().max(64),
   re: z.int().min(1),
   hlc,
@@ -52,18 +52,18 @@
   bundleVersion: z.int().min(0),
   status: z.optional(z.record(z.string(), z.unknown())),
 });
-export const frameSchema = z.union([heartbeatSchema, callSchema, answerSchema]);
+export const frameSchema = z.union([heartbeatSchema, callSchema, responseSchema]);
 export type Frame = z.infer<typeof frameSchema>;
 
 // Copied buffers let a kept body outlive its frame without holding on to all of it.
 const packr = new Packr({ useRecords: false, copyBuffers: true, encodeUndefinedAsNil: false });
 
 /** The bytes of a frame. */
-export function encode(frame: object): Uint8Array {
+export function encodeFrame(frame: object): Uint8Array {
   return packr.pack(frame);
 }
 
 /** The value in the bytes; throws on anything truncated or garbled. */
-export function decode(bytes: Uint8Array): unknown {
+export function decodeFrame(bytes: Uint8Array): unknown {
   return packr.unpack(bytes);
 }
--- a/packages/link/src/auth.ts
+++ b/packages/link/src/handshake-mac.ts
@@ -8,7 +8,7 @@
 }
 
 /** What a proof is about. */
-export interface ProofInput {
+export interface MacInput {
   key: string;
   /** Whose proof it is, so that neither end's can be played back as the other's. */
   side: 'dialer' | 'server';
@@ -19,14 +19,14 @@
 }
 
 /** The proof of one key. */
-export function prove({
+export function computeMac({
   key,
   side,
   serverNonce,
   dialerNonce,
   process: { id, role, incarnation, failureDomain },
   bornAt = 0,
-}: ProofInput): Uint8Array {
+}: MacInput): Uint8Array {
   return createHmac('sha256', key)
     .update(JSON.stringify(['zincspan-link-1', side, id, role, incarnation, failureDomain, bornAt]))
     .update(serverNonce)
@@ -35,6 +35,6 @@
 }
 
 /** Compares two proofs in constant time. */
-export function sameProof(a: Uint8Array, b: Uint8Array): boolean {
+export function macsEqual(a: Uint8Array, b: Uint8Array): boolean {
   return a.byteLength === b.byteLength && timingSafeEqual(a, b);
 }
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -1,60 +1,72 @@
 /** The handshake at either end: challenge, proof, welcome. */
 import type { ProcessId } from '@zincspan/core';
-import { newNonce, prove, sameProof } from './auth.js';
+import { newNonce, computeMac, macsEqual } from './handshake-mac.js';
 import { challengeSchema, proofSchema, welcomeSchema, type Proof } from './frame.js';
-import { LinkFault } from './options.js';
-import type { FrameSocket } from './socket.js';
+import { LinkCloseError } from './link-options.js';
+import type { FrameSocket } from './frame-socket.js';
 
 /** Who this end is, and its keys, newest first. */
-export interface Identity {
+export interface LocalIdentity {
   self: ProcessId;
   bornAt: number;
   keys: string[];
 }
 
 /** Checks a dialer. `check` may refuse a proved one by throwing; `onUp` comes after the welcome. */
-export function challenge(
+export function runServerHandshake(
   socket: FrameSocket,
-  { self, keys }: Identity,
-  { check, onUp }: { check: (proof: Proof) => void; onUp: (proof: Proof) => void },
+  { self, keys }: LocalIdentity,
+  {
+    check,
+    onAuthenticated,
+  }: { check: (proof: Proof) => void; onAuthenticated: (proof: Proof) => void },
 ): void {
   const serverNonce = newNonce();
-  socket.receive((frame) => {
-    const proof = read(proofSchema, frame);
+  socket.setFrameHandler((frame) => {
+    const proof = parseHandshakeFrame(proofSchema, frame);
     const { process, bornAt, nonce: dialerNonce } = proof;
-    const input = { side: 'dialer', serverNonce, dialerNonce, process, bornAt } as const;
-    const proofs = keys.map((key) => ({ key, mac: prove({ ...input, key }) }));
+    const macInput = { side: 'dialer', serverNonce, dialerNonce, process, bornAt } as const;
+    const expectedMacs = keys.map((key) => ({ key, mac: computeMac({ ...macInput, key }) }));
     const match = proof.macs
-      .map((mac, index) => ({ index, key: proofs.find((own) => sameProof(own.mac, mac))?.key }))
+      .map((mac, index) => ({
+        index,
+        key: expectedMacs.find((candidate) => macsEqual(candidate.mac, mac))?.key,
+      }))
       .find(({ key }) => key !== undefined);
     if (match?.key === undefined) {
-      throw new LinkFault('not-authentic', 'The dialer has no key of ours.');
+      throw new LinkCloseError('not-authentic', 'The dialer has no key of ours.');
     }
-    const mac = prove({ key: match.key, side: 'server', serverNonce, dialerNonce, process: self });
+    const mac = computeMac({
+      key: match.key,
+      side: 'server',
+      serverNonce,
+      dialerNonce,
+      process: self,
+    });
     check(proof);
     socket.send({ t: 'link.welcome', process: self, key: match.index, mac });
-    onUp(proof);
+    onAuthenticated(proof);
   });
   socket.send({ t: 'link.challenge', nonce: serverNonce });
 }
 
 /** Proves this end to a server and checks the server. `onWelcome` gets who it is. */
-export function respond(
+export function runDialerHandshake(
   socket: FrameSocket,
-  { self, bornAt, keys }: Identity,
+  { self, bornAt, keys }: LocalIdentity,
   onWelcome: (process: ProcessId) => void,
 ): void {
   const dialerNonce = newNonce();
-  socket.receive((frame) => {
-    const { nonce: serverNonce } = read(challengeSchema, frame);
-    const input = { side: 'dialer', serverNonce, dialerNonce, process: self, bornAt } as const;
-    const macs = keys.map((key) => prove({ ...input, key }));
-    socket.receive((next) => {
-      const { process, key: index, mac } = read(welcomeSchema, next);
+  socket.setFrameHandler((frame) => {
+    const { nonce: serverNonce } = parseHandshakeFrame(challengeSchema, frame);
+    const macInput = { side: 'dialer', serverNonce, dialerNonce, process: self, bornAt } as const;
+    const macs = keys.map((key) => computeMac({ ...macInput, key }));
+    socket.setFrameHandler((next) => {
+      const { process, key: index, mac } = parseHandshakeFrame(welcomeSchema, next);
       const key = keys[index] ?? '';
-      const expected = prove({ key, side: 'server', serverNonce, dialerNonce, process });
-      if (!key || !sameProof(expected, mac)) {
-        throw new LinkFault('not-authentic', 'The server has no key of ours.');
+      const expected = computeMac({ key, side: 'server', serverNonce, dialerNonce, process });
+      if (!key || !macsEqual(expected, mac)) {
+        throw new LinkCloseError('not-authentic', 'The server has no key of ours.');
       }
       onWelcome(process);
     });
@@ -62,11 +74,11 @@
   });
 }
 
-function read<T>(
+function parseHandshakeFrame<T>(
   schema: { safeParse: (value: unknown) => { success: true; data: T } | { success: false } },
   frame: unknown,
 ): T {
   const parsed = schema.safeParse(frame);
   if (parsed.success) return parsed.data;
-  throw new LinkFault('garbled', 'A frame of the handshake is not as agreed.');
+  throw new LinkCloseError('garbled', 'A frame of the handshake is not as agreed.');
 }
--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -4,6 +4,6 @@
 export * from './dialer.js';
 export * from './link.js';
 export * from './link-server.js';
-export * from './options.js';
+export * from './link-options.js';
 export { MAX_FRAME_BYTES } from './frame.js';
 export * from './traffic.js';
--- a/packages/link/src/silence-watch.ts
+++ b/packages/link/src/keep-alive.ts
@@ -2,48 +2,48 @@
 import type { Clock } from '@zincspan/core';
 
 /** What a watch needs. Times in ms. */
-export interface SilenceWatchOptions {
+export interface KeepAliveOptions {
   clock: Clock;
   everyMs: number;
   silenceMs: number;
   /** Bytes received so far: any growth is a sign of life, so a long frame on a slow path counts. */
   bytesRead: () => number;
-  beat: () => void;
+  sendHeartbeat: () => void;
   /** Called at each look, at least twice within `everyMs`. */
   onTick?: () => void;
   onSilence: (ms: number) => void;
 }
 
 /** Runs until `stop`. */
-export class SilenceWatch {
-  readonly #options: SilenceWatchOptions;
+export class KeepAlive {
+  readonly #options: KeepAliveOptions;
 
   readonly #tickMs: number;
 
   readonly #timer: NodeJS.Timeout;
 
-  #bytes: number;
+  #lastBytesRead: number;
 
-  #heardAt: number;
+  #lastReceivedAt: number;
 
-  #sentAt: number;
+  #lastSentAt: number;
 
-  #tickedAt: number;
+  #lastTickAt: number;
 
-  constructor(options: SilenceWatchOptions) {
+  constructor(options: KeepAliveOptions) {
     this.#options = options;
     const now = options.clock.now();
-    this.#bytes = options.bytesRead();
-    this.#heardAt = now;
-    this.#sentAt = now;
-    this.#tickedAt = now;
+    this.#lastBytesRead = options.bytesRead();
+    this.#lastReceivedAt = now;
+    this.#lastSentAt = now;
+    this.#lastTickAt = now;
     this.#tickMs = Math.max(10, Math.min(options.everyMs / 2, options.silenceMs / 4));
     this.#timer = setInterval(() => this.#tick(), this.#tickMs);
   }
 
   /** Something was sent, so no heartbeat is due for a while. */
-  sent(): void {
-    this.#sentAt = this.#options.clock.now();
+  noteSent(): void {
+    this.#lastSentAt = this.#options.clock.now();
   }
 
   stop(): void {
@@ -51,18 +51,19 @@
   }
 
   #tick(): void {
-    const { clock, everyMs, silenceMs, bytesRead, beat, onSilence, onTick } = this.#options;
+    const { clock, everyMs, silenceMs, bytesRead, sendHeartbeat, onSilence, onTick } =
+      this.#options;
     const now = clock.now();
-    const overslept = now - this.#tickedAt > silenceMs / 2 + this.#tickMs;
-    this.#tickedAt = now;
-    if (bytesRead() !== this.#bytes) {
-      this.#bytes = bytesRead();
-      this.#heardAt = now;
+    const stalled = now - this.#lastTickAt > silenceMs / 2 + this.#tickMs;
+    this.#lastTickAt = now;
+    if (bytesRead() !== this.#lastBytesRead) {
+      this.#lastBytesRead = bytesRead();
+      this.#lastReceivedAt = now;
     }
-    if (now - this.#sentAt >= everyMs) beat();
+    if (now - this.#lastSentAt >= everyMs) sendHeartbeat();
     onTick?.();
     // After a stall of this process unread bytes may wait in the socket: look again at the next tick.
-    if (overslept || now - this.#heardAt <= silenceMs) return;
-    onSilence(now - this.#heardAt);
+    if (stalled || now - this.#lastReceivedAt <= silenceMs) return;
+    onSilence(now - this.#lastReceivedAt);
   }
 }
--- a/packages/link/src/options.ts
+++ b/packages/link/src/link-options.ts
@@ -19,7 +19,7 @@
   | 'unreachable';
 
 /** Typed error of a link's end; counted as `link.closed.<reason>`. */
-export class LinkFault extends Error {
+export class LinkCloseError extends Error {
   readonly reason: CloseReason;
 
   constructor(reason: CloseReason, detail: string) {
@@ -32,23 +32,23 @@
 /** Bounds of one link. */
 export interface LinkLimits {
   /** Calls without an answer yet, each way. */
-  callsInFlight: number;
+  maxCallsInFlight: number;
   /** Bytes written but not yet taken by the network. */
-  outgoingBytes: number;
+  maxBufferedBytes: number;
   /** Longest handshake, in ms. */
-  handshakeMs: number;
+  handshakeTimeoutMs: number;
   /** Connections of a server that haven't proved themselves yet. */
-  unauthenticated: number;
+  maxUnauthenticated: number;
   /** A call without a timeout of its own, in ms. */
-  callMs: number;
+  callTimeoutMs: number;
 }
 
-export const DEFAULT_LIMITS: LinkLimits = {
-  callsInFlight: 1024,
-  outgoingBytes: 16 * 1_048_576,
-  handshakeMs: 2000,
-  unauthenticated: 64,
-  callMs: 30_000,
+export const DEFAULT_LINK_LIMITS: LinkLimits = {
+  maxCallsInFlight: 1024,
+  maxBufferedBytes: 16 * 1_048_576,
+  handshakeTimeoutMs: 2000,
+  maxUnauthenticated: 64,
+  callTimeoutMs: 30_000,
 };
 
 /** Calls a hook of the link's user. What it throws is its own fault and must not end the link. */
--- a/packages/link/src/link-server.ts
+++ b/packages/link/src/link-server.ts
@@ -5,23 +5,23 @@
 import { AcceptedPeers } from './accepted-peers.js';
 import { listenOn } from './listen.js';
 import { MAX_FRAME_BYTES, type Proof } from './frame.js';
-import { challenge } from './handshake.js';
+import { runServerHandshake } from './handshake.js';
 import { Link } from './link.js';
 import {
-  DEFAULT_LIMITS,
-  LinkFault,
+  DEFAULT_LINK_LIMITS,
+  LinkCloseError,
   callHook,
   type LinkLimits,
   type LinkOptions,
-} from './options.js';
-import { FrameSocket } from './socket.js';
+} from './link-options.js';
+import { FrameSocket } from './frame-socket.js';
 
 /** Listens on `listen` (`IP:port`, port 0 for any). */
 export interface LinkServerOptions extends LinkOptions {
   listen: string;
 }
 
-const GOODBYE_MS = 1000;
+const CLOSE_TIMEOUT_MS = 1000;
 
 /** A listener whose links are all authenticated before they count. */
 export class LinkServer {
@@ -29,116 +29,120 @@
 
   readonly #limits: LinkLimits;
 
-  readonly #http: Server;
+  readonly #httpServer: Server;
 
-  readonly #sockets: WebSocketServer;
+  readonly #webSocketServer: WebSocketServer;
 
-  readonly #accepted = new AcceptedPeers();
+  readonly #acceptedPeers = new AcceptedPeers();
 
   /** Connections that haven't proved themselves. */
-  readonly #unproved = new Set<Socket>();
+  readonly #unauthenticated = new Set<Socket>();
 
   readonly #connections = new Set<Socket>();
 
   constructor(options: LinkServerOptions) {
     this.#options = options;
-    this.#limits = { ...DEFAULT_LIMITS, ...options.limits };
-    this.#http = createServer((_req, res) => {
+    this.#limits = { ...DEFAULT_LINK_LIMITS, ...options.limits };
+    this.#httpServer = createServer((_req, res) => {
       res.writeHead(426).end();
     });
-    this.#sockets = new WebSocketServer({
-      server: this.#http,
+    this.#webSocketServer = new WebSocketServer({
+      server: this.#httpServer,
       maxPayload: MAX_FRAME_BYTES,
       perMessageDeflate: false,
       clientTracking: false,
     });
-    this.#http.on('connection', (socket: Socket) => this.#admit(socket));
+    this.#httpServer.on('connection', (socket: Socket) => this.#trackConnection(socket));
     // It repeats the HTTP server's errors, which `start` reports.
-    this.#sockets.on('error', () => undefined);
-    this.#sockets.on('connection', (socket, req) => this.#shakeHands(socket, req.socket));
+    this.#webSocketServer.on('error', () => undefined);
+    this.#webSocketServer.on('connection', (socket, req) =>
+      this.#startHandshake(socket, req.socket),
+    );
   }
 
   /** Starts to listen; answers the address. */
   start(): Promise<string> {
-    return listenOn(this.#http, this.#options.listen);
+    return listenOn(this.#httpServer, this.#options.listen);
   }
 
   /** Live links. */
   links(): Link[] {
-    return this.#accepted.links();
+    return this.#acceptedPeers.links();
   }
 
   /** Closes all links and stops listening. */
   async close(): Promise<void> {
     const closed = new Promise((resolve) => {
-      this.#http.close(resolve);
+      this.#httpServer.close(resolve);
     });
     this.links().forEach((link) => link.close());
-    this.#unproved.forEach((socket) => socket.destroy());
+    this.#unauthenticated.forEach((socket) => socket.destroy());
     // A silent peer doesn't answer the goodbye.
     const timer = setTimeout(
       () => this.#connections.forEach((socket) => socket.destroy()),
-      GOODBYE_MS,
+      CLOSE_TIMEOUT_MS,
     );
     await closed;
     clearTimeout(timer);
   }
 
-  #admit(socket: Socket): void {
-    if (this.#unproved.size >= this.#limits.unauthenticated) {
-      this.#count(new LinkFault('too-many', 'Too many connections are in their handshake.'));
+  #trackConnection(socket: Socket): void {
+    if (this.#unauthenticated.size >= this.#limits.maxUnauthenticated) {
+      this.#countClose(
+        new LinkCloseError('too-many', 'Too many connections are in their handshake.'),
+      );
       socket.destroy();
       return;
     }
     socket.setNoDelay(true);
     this.#connections.add(socket);
-    this.#unproved.add(socket);
+    this.#unauthenticated.add(socket);
     const timer = setTimeout(() => {
-      if (!this.#unproved.has(socket)) return;
-      this.#count(new LinkFault('handshake-timeout', 'The handshake took too long.'));
+      if (!this.#unauthenticated.has(socket)) return;
+      this.#countClose(new LinkCloseError('handshake-timeout', 'The handshake took too long.'));
       socket.destroy();
-    }, this.#limits.handshakeMs);
+    }, this.#limits.handshakeTimeoutMs);
     socket.once('close', () => {
       clearTimeout(timer);
-      this.#unproved.delete(socket);
+      this.#unauthenticated.delete(socket);
       this.#connections.delete(socket);
     });
   }
 
-  #shakeHands(ws: WebSocket, transport: Socket): void {
+  #startHandshake(ws: WebSocket, transport: Socket): void {
     let link: Link | undefined;
     const socket = new FrameSocket({
       socket: ws,
       transport,
-      outgoingBytes: this.#limits.outgoingBytes,
-      onEnd: (fault) => {
-        this.#count(fault);
-        link?.handleEnd(fault);
+      maxBufferedBytes: this.#limits.maxBufferedBytes,
+      onEnd: (closeError) => {
+        this.#countClose(closeError);
+        link?.handleEnd(closeError);
       },
     });
     const { ctx, keys, bornAt = performance.timeOrigin } = this.#options;
-    challenge(
+    runServerHandshake(
       socket,
       { self: ctx.self, keys, bornAt },
       {
-        check: (proof) => this.#accepted.check(proof.process, proof.bornAt),
-        onUp: (proof) => {
-          this.#unproved.delete(transport);
-          link = this.#open(socket, proof);
+        check: (proof) => this.#acceptedPeers.checkIncarnation(proof.process, proof.bornAt),
+        onAuthenticated: (proof) => {
+          this.#unauthenticated.delete(transport);
+          link = this.#openLink(socket, proof);
         },
       },
     );
   }
 
-  #open(socket: FrameSocket, { process, bornAt }: Proof): Link {
+  #openLink(socket: FrameSocket, { process, bornAt }: Proof): Link {
     const link = new Link({ options: this.#options, limits: this.#limits, socket, process });
-    this.#accepted.put(link, bornAt);
+    this.#acceptedPeers.acceptLink(link, bornAt);
     this.#options.ctx.metrics.count('link.accepted');
     callHook(this.#options.ctx, () => this.#options.onPeer?.(link));
     return link;
   }
 
-  #count({ reason, message }: LinkFault): void {
+  #countClose({ reason, message }: LinkCloseError): void {
     this.#options.ctx.metrics.count(`link.closed.${reason}`);
     if (reason === 'not-authentic') this.#options.ctx.log.warn({ reason }, message);
   }
--- a/packages/link/src/link-world.support.ts
+++ b/packages/link/src/link-world.support.ts
@@ -13,15 +13,15 @@
 import { Dialer, type DialerOptions } from './dialer.js';
 import type { Link } from './link.js';
 import { LinkServer } from './link-server.js';
-import type { LinkOptions } from './options.js';
+import type { LinkOptions } from './link-options.js';
 
-export const KEY = 'a-link-key-for-the-tests-of-links';
-export const OTHER_KEY = 'another-key-of-at-least-32-bytes!';
-export const CALLS_IN_FLIGHT = 60;
-export const UNAUTHENTICATED = 8;
+export const LINK_KEY = 'a-link-key-for-the-tests-of-links';
+export const OTHER_LINK_KEY = 'another-key-of-at-least-32-bytes!';
+export const MAX_CALLS_IN_FLIGHT = 60;
+export const MAX_UNAUTHENTICATED = 8;
 
 /** Counters whose changes can be awaited. */
-export class WatchedMetrics extends CountingMetrics {
+export class AwaitableMetrics extends CountingMetrics {
   readonly #events = new EventEmitter();
 
   override count(name: string, by = 1): void {
@@ -29,14 +29,14 @@
     this.#events.emit('counted');
   }
 
-  async until(name: string): Promise<void> {
+  async waitForCounter(name: string): Promise<void> {
     while (!this.counters.has(name)) await once(this.#events, 'counted');
   }
 }
 
-export interface Party {
+export interface TestProcess {
   ctx: ProcessContext;
-  metrics: WatchedMetrics;
+  metrics: AwaitableMetrics;
   /** Each link that came up, latest last. */
   links: Link[];
   events: EventEmitter;
@@ -46,31 +46,36 @@
 export class LinkWorld {
   server!: LinkServer;
 
-  serverParty!: Party;
+  serverProcess!: TestProcess;
 
   dialer!: Dialer;
 
-  dialerParty!: Party;
+  dialerProcess!: TestProcess;
 
   proxy!: LossyProxy;
 
   inFlight: Promise<unknown> = Promise.resolve();
 }
 
-const closers: (() => unknown)[] = [];
+const cleanups: (() => unknown)[] = [];
 
 After(async () => {
-  await Promise.all(closers.splice(0).map((close) => close()));
+  await Promise.all(cleanups.splice(0).map((close) => close()));
 });
 
-export function closeLater(close: () => unknown): void {
-  closers.push(close);
+export function closeAfterScenario(close: () => unknown): void {
+  cleanups.push(close);
 }
 
-export function makeParty(id: string, incarnation: string, key = KEY, bornAt = 0): Party {
+export function makeTestProcess(
+  id: string,
+  incarnation: string,
+  key = LINK_KEY,
+  bornAt = 0,
+): TestProcess {
   const clock = new SystemClock();
   const hybrid = new HybridClock({ clock });
-  const metrics = new WatchedMetrics();
+  const metrics = new AwaitableMetrics();
   const events = new EventEmitter();
   const links: Link[] = [];
   const ctx: ProcessContext = {
@@ -86,7 +91,11 @@
     keys: [key],
     bornAt,
     heartbeat: { everyMs: 50, silenceMs: 300 },
-    limits: { callsInFlight: CALLS_IN_FLIGHT, handshakeMs: 400, unauthenticated: UNAUTHENTICATED },
+    limits: {
+      maxCallsInFlight: MAX_CALLS_IN_FLIGHT,
+      handshakeTimeoutMs: 400,
+      maxUnauthenticated: MAX_UNAUTHENTICATED,
+    },
     onPeer: (link: Link) => {
       links.push(link);
       events.emit('up');
@@ -96,7 +105,7 @@
 }
 
 /** Waits until this many links have come up. */
-export async function untilLinks({ links, events }: Party, count: number): Promise<Link> {
+export async function waitForLinks({ links, events }: TestProcess, count: number): Promise<Link> {
   while (links.length < count) await once(events, 'up');
   return links[count - 1]!;
 }
@@ -104,40 +113,40 @@
 export async function startServer(
   world: LinkWorld,
   handlers: Handlers,
-  keys = [KEY],
+  keys = [LINK_KEY],
 ): Promise<void> {
-  const party = makeParty('entry-1', 'incarnation-1');
+  const testProcess = makeTestProcess('entry-1', 'incarnation-1');
   const server = new LinkServer({
-    ...party.options,
+    ...testProcess.options,
     keys,
     handlers,
     listen: '127.0.0.1:0',
     bundleVersion: () => 7,
-    onBundleVersion: (_link, version) => party.events.emit('version', version),
+    onBundleVersion: (_link, version) => testProcess.events.emit('version', version),
   });
   const proxy = new LossyProxy({ to: await server.start() });
   await proxy.start();
-  closeLater(() => server.close());
-  closeLater(() => proxy.close());
-  Object.assign(world, { server, proxy, serverParty: party });
+  closeAfterScenario(() => server.close());
+  closeAfterScenario(() => proxy.close());
+  Object.assign(world, { server, proxy, serverProcess: testProcess });
 }
 
 /** Dials the server through the proxy. */
 export function dial(
   world: LinkWorld,
-  party: Party,
+  testProcess: TestProcess,
   overrides: Partial<DialerOptions> = {},
 ): Dialer {
   const dialer = new Dialer({
-    ...party.options,
+    ...testProcess.options,
     handlers: {},
     address: world.proxy.address,
     backoff: { firstMs: 10, maxMs: 50 },
     bundleVersion: () => 9,
-    onBundleVersion: (_link, version) => party.events.emit('version', version),
+    onBundleVersion: (_link, version) => testProcess.events.emit('version', version),
     ...overrides,
   });
   dialer.start();
-  closeLater(() => dialer.close());
+  closeAfterScenario(() => dialer.close());
   return dialer;
 }
--- a/packages/link/src/link.ts
+++ b/packages/link/src/link.ts
@@ -15,14 +15,14 @@
 import { PendingCalls } from './pending-calls.js';
 import { MAX_FRAME_BYTES, frameSchema, type Frame } from './frame.js';
 import {
-  LinkFault,
+  LinkCloseError,
   callHook,
   type CloseReason,
   type LinkLimits,
   type LinkOptions,
-} from './options.js';
-import { SilenceWatch } from './silence-watch.js';
-import type { FrameSocket, SendResult } from './socket.js';
+} from './link-options.js';
+import { KeepAlive } from './keep-alive.js';
+import type { FrameSocket, SendResult } from './frame-socket.js';
 import { TrafficMeter, type Traffic } from './traffic.js';
 
 /** A handler whose request was checked against its method's schema. */
@@ -46,11 +46,11 @@
 
   readonly #pending: PendingCalls;
 
-  readonly #watch: SilenceWatch;
+  readonly #keepAlive: KeepAlive;
 
   readonly #meter: TrafficMeter;
 
-  #answering = 0;
+  #runningCalls = 0;
 
   #resolveEnded!: (reason: CloseReason) => void;
 
@@ -69,22 +69,22 @@
     this.#options = options;
     this.#limits = limits;
     this.#socket = socket;
-    this.#pending = new PendingCalls({ bound: limits.callsInFlight });
+    this.#pending = new PendingCalls({ bound: limits.maxCallsInFlight });
     this.ended = new Promise((resolve) => {
       this.#resolveEnded = resolve;
     });
     this.#meter = new TrafficMeter({ ctx: options.ctx, read: () => socket.traffic });
-    this.#watch = new SilenceWatch({
+    this.#keepAlive = new KeepAlive({
       ...options.heartbeat,
       clock: options.ctx.clock,
       bytesRead: () => socket.bytesRead,
-      beat: () => this.#beat(),
+      sendHeartbeat: () => this.#sendHeartbeat(),
       onTick: () => this.#meter.report(options.heartbeat.everyMs),
       onSilence: (ms) =>
-        socket.end(new LinkFault('silence', `Nothing came for ${Math.round(ms)} ms.`)),
+        socket.end(new LinkCloseError('silence', `Nothing came for ${Math.round(ms)} ms.`)),
     });
-    socket.receive((frame) => this.#receive(frame));
-    this.#beat();
+    socket.setFrameHandler((frame) => this.#handleFrame(frame));
+    this.#sendHeartbeat();
   }
 
   get closed(): boolean {
@@ -100,19 +100,19 @@
   async call<M extends Method>(
     method: M,
     req: MethodReq<M>,
-    { timeoutMs = this.#limits.callMs }: { timeoutMs?: number } = {},
+    { timeoutMs = this.#limits.callTimeoutMs }: { timeoutMs?: number } = {},
   ): Promise<MethodRes<M>> {
     if (this.closed) throw new LinkError('not-sent', 'The link is closed.');
-    const { id, answer } = this.#pending.open(timeoutMs);
-    const sent = this.#send({ t: method, id, body: req });
-    if (sent !== 'sent') this.#pending.reject(id, unsent(method, sent));
+    const { id, answer } = this.#pending.register(timeoutMs);
+    const sent = this.#sendFrame({ t: method, id, body: req });
+    if (sent !== 'sent') this.#pending.reject(id, unsentError(method, sent));
     const body = await answer;
-    const checked = METHODS[method].res.safeParse(body);
-    if (checked.success) return checked.data as MethodRes<M>;
+    const parsedResponse = METHODS[method].res.safeParse(body);
+    if (parsedResponse.success) return parsedResponse.data as MethodRes<M>;
     this.#options.ctx.metrics.count('link.answer.unreadable');
     throw new ProblemError(
       problem('internal', {
-        detail: `The answer to ${method} isn't as agreed: ${checked.error.message}`,
+        detail: `The answer to ${method} isn't as agreed: ${parsedResponse.error.message}`,
         remedy: 'Run the same version of zincspan at both ends.',
         ran: 'unknown',
       }),
@@ -121,79 +121,81 @@
 
   /** Ends the link; calls in flight reject with `lost`. */
   close(reason: CloseReason = 'closed', detail = 'The link was closed here.'): void {
-    this.#socket.end(new LinkFault(reason, detail));
+    this.#socket.end(new LinkCloseError(reason, detail));
   }
 
   /** Told by the socket's owner, once. */
-  handleEnd(fault: LinkFault): void {
-    this.#watch.stop();
-    this.#meter.end();
-    this.#pending.rejectAll(() => new LinkError('lost', `The link ended: ${fault.message}`));
-    this.#resolveEnded(fault.reason);
+  handleEnd(closeError: LinkCloseError): void {
+    this.#keepAlive.stop();
+    this.#meter.finish();
+    this.#pending.rejectAll(() => new LinkError('lost', `The link ended: ${closeError.message}`));
+    this.#resolveEnded(closeError.reason);
   }
 
-  #send(frame: { t: string } & Record<string, unknown>): SendResult {
+  #sendFrame(frame: { t: string } & Record<string, unknown>): SendResult {
     const result = this.#socket.send({ ...frame, hlc: this.#options.ctx.hybrid.tick() });
-    if (result === 'sent') this.#watch.sent();
+    if (result === 'sent') this.#keepAlive.noteSent();
     else this.#options.ctx.metrics.count(`link.unsent.${result}`);
     return result;
   }
 
-  #beat(): void {
+  #sendHeartbeat(): void {
     const { bundleVersion, status } = this.#options;
-    this.#send({
+    this.#sendFrame({
       t: 'link.heartbeat',
       bundleVersion: bundleVersion?.() ?? 0,
       ...(status ? { status: status() } : {}),
     });
   }
 
-  #receive(raw: unknown): void {
+  #handleFrame(raw: unknown): void {
     const parsed = frameSchema.safeParse(raw);
-    if (!parsed.success) throw new LinkFault('garbled', 'A frame is not as agreed.');
+    if (!parsed.success) throw new LinkCloseError('garbled', 'A frame is not as agreed.');
     const frame = parsed.data;
     this.#options.ctx.hybrid.merge(frame.hlc);
-    if ('bundleVersion' in frame) this.#noteHeartbeat(frame);
-    else if ('re' in frame) this.#noteAnswer(frame);
-    else void this.#answer(frame);
+    if ('bundleVersion' in frame) this.#handleHeartbeat(frame);
+    else if ('re' in frame) this.#handleResponse(frame);
+    else void this.#handleCall(frame);
   }
 
-  #noteHeartbeat(frame: Extract<Frame, { bundleVersion: number }>): void {
+  #handleHeartbeat(frame: Extract<Frame, { bundleVersion: number }>): void {
     if (frame.status) this.status = frame.status;
     const { ctx, onBundleVersion } = this.#options;
     callHook(ctx, () => onBundleVersion?.(this, frame.bundleVersion));
   }
 
-  #noteAnswer(frame: Extract<Frame, { re: number }>): void {
+  #handleResponse(frame: Extract<Frame, { re: number }>): void {
     const known = frame.problem
       ? this.#pending.reject(frame.re, new ProblemError(frame.problem))
       : this.#pending.resolve(frame.re, frame.body);
     if (!known) this.#options.ctx.metrics.count('link.answer.late');
   }
 
-  async #answer({ t, id, body }: Extract<Frame, { id: number }>): Promise<void> {
-    this.#answering += 1;
-    const answer = await this.#run(t, body).catch((err: unknown) => this.#refuse(t, err));
-    this.#answering -= 1;
-    let sent = this.#send({ t, re: id, ...answer });
+  async #handleCall({ t, id, body }: Extract<Frame, { id: number }>): Promise<void> {
+    this.#runningCalls += 1;
+    const answer = await this.#runHandler(t, body).catch((err: unknown) =>
+      this.#toProblemResponse(t, err),
+    );
+    this.#runningCalls -= 1;
+    let sent = this.#sendFrame({ t, re: id, ...answer });
     if (sent === 'too-long') {
-      sent = this.#send({ t, re: id, problem: tooLong('answer', t, 'unknown') });
+      sent = this.#sendFrame({ t, re: id, problem: tooLargeProblem('answer', t, 'unknown') });
     }
     // An answer that can't be written would leave its caller waiting: end the link, so that it settles.
     if (sent === 'full') this.close('overflow', 'Answers fill the outgoing buffer.');
   }
 
-  async #run(method: string, body: unknown): Promise<{ body: unknown }> {
-    if (this.#answering > this.#limits.callsInFlight) throw tooManyCalls(this.#limits);
+  async #runHandler(method: string, body: unknown): Promise<{ body: unknown }> {
+    if (this.#runningCalls > this.#limits.maxCallsInFlight) throw tooManyCalls(this.#limits);
     if (!isMethod(method)) throw unknownMethod(method);
     const handler = this.#options.handlers[method] as AnyHandler | undefined;
     if (!handler) throw unknownMethod(method);
-    const checked = METHODS[method].req.safeParse(body);
-    if (!checked.success) throw badInput(method, checked.error.message);
-    return { body: await handler(checked.data, this) };
+    const parsed = METHODS[method].req.safeParse(body);
+    if (!parsed.success) throw invalidRequest(method, parsed.error.message);
+    return { body: await handler(parsed.data, this) };
   }
 
-  #refuse(method: string, err: unknown): { problem: ProblemError['problem'] } {
+  #toProblemResponse(method: string, err: unknown): { problem: ProblemError['problem'] } {
     if (!(err instanceof ProblemError)) {
       this.#options.ctx.metrics.count('link.handler.failed');
       this.#options.ctx.log.error({ method, err }, 'handler failed');
@@ -202,14 +204,14 @@
   }
 }
 
-function unsent(method: string, result: SendResult): Error {
-  if (result === 'too-long') return new ProblemError(tooLong('call', method, 'not-run'));
+function unsentError(method: string, result: SendResult): Error {
+  if (result === 'too-long') return new ProblemError(tooLargeProblem('call', method, 'not-run'));
   return new LinkError('not-sent', 'The outgoing buffer is full.');
 }
 
-function tooLong(what: string, method: string, ran: 'not-run' | 'unknown'): Problem {
+function tooLargeProblem(kind: string, method: string, ran: 'not-run' | 'unknown'): Problem {
   return problem('too-large', {
-    detail: `The ${what} of ${method} exceeds ${MAX_FRAME_BYTES} bytes.`,
+    detail: `The ${kind} of ${method} exceeds ${MAX_FRAME_BYTES} bytes.`,
     remedy: 'Send less at once.',
     ran,
     facts: { bound: MAX_FRAME_BYTES },
@@ -220,13 +222,13 @@
   return Object.keys(METHODS).includes(method);
 }
 
-function tooManyCalls({ callsInFlight }: LinkLimits): ProblemError {
+function tooManyCalls({ maxCallsInFlight }: LinkLimits): ProblemError {
   return new ProblemError(
     problem('overloaded', {
-      detail: `More than ${callsInFlight} calls are in progress on this link.`,
+      detail: `More than ${maxCallsInFlight} calls are in progress on this link.`,
       remedy: 'Try again once some are answered.',
       retryAfterMs: 100,
-      facts: { bound: callsInFlight },
+      facts: { bound: maxCallsInFlight },
     }),
   );
 }
@@ -240,7 +242,7 @@
   );
 }
 
-function badInput(method: string, detail: string): ProblemError {
+function invalidRequest(method: string, detail: string): ProblemError {
   return new ProblemError(
     problem('bad-input', {
       detail: `The call of ${method} isn't as agreed: ${detail}`,
--- a/packages/link/src/links.steps.ts
+++ b/packages/link/src/links.steps.ts
@@ -11,21 +11,21 @@
   type ProcessId,
 } from '@zincspan/core';
 import { WebSocket } from 'ws';
-import { MAX_FRAME_BYTES, encode } from './frame.js';
-import { respond } from './handshake.js';
+import { MAX_FRAME_BYTES, encodeFrame } from './frame.js';
+import { runDialerHandshake } from './handshake.js';
 import {
-  CALLS_IN_FLIGHT,
-  KEY,
-  OTHER_KEY,
-  closeLater,
+  MAX_CALLS_IN_FLIGHT,
+  LINK_KEY,
+  OTHER_LINK_KEY,
+  closeAfterScenario,
   dial,
-  makeParty,
+  makeTestProcess,
   startServer,
-  untilLinks,
+  waitForLinks,
   type LinkWorld,
 } from './link-world.support.js';
-import { FrameSocket } from './socket.js';
-import { linkTraffic } from './traffic.js';
+import { FrameSocket } from './frame-socket.js';
+import { totalLinkTraffic } from './traffic.js';
 
 /** `job` names what the answer is to be; bodies that shuffle answer in any order. */
 const handlers: Handlers = {
@@ -45,11 +45,16 @@
   'bundle.fetch': () => ({ delta: 'x'.repeat(MAX_FRAME_BYTES) }) as never,
 };
 
-async function ask(world: LinkWorld, job: string, limit = 1, timeoutMs = 5000): Promise<unknown> {
+async function callTimelineRead(
+  world: LinkWorld,
+  job: string,
+  limit = 1,
+  timeoutMs = 5000,
+): Promise<unknown> {
   return world.dialer.link!.call('timeline.read', { job, limit }, { timeoutMs });
 }
 
-async function kindOf(call: Promise<unknown>): Promise<string> {
+async function failureKind(call: Promise<unknown>): Promise<string> {
   try {
     await call;
     return 'answered';
@@ -60,65 +65,69 @@
   }
 }
 
-async function link(world: LinkWorld, dialerKeys = [KEY], serverKeys = [KEY]): Promise<void> {
+async function connectProcesses(
+  world: LinkWorld,
+  dialerKeys = [LINK_KEY],
+  serverKeys = [LINK_KEY],
+): Promise<void> {
   await startServer(world, handlers, serverKeys);
-  const party = makeParty('guard-1', 'incarnation-a', KEY, 5);
-  const dialer = dial(world, party, { expectId: 'entry-1', keys: dialerKeys });
-  Object.assign(world, { dialer, dialerParty: party, inFlight: Promise.resolve() });
-  await Promise.all([untilLinks(party, 1), untilLinks(world.serverParty, 1)]);
+  const testProcess = makeTestProcess('guard-1', 'incarnation-a', LINK_KEY, 5);
+  const dialer = dial(world, testProcess, { expectId: 'entry-1', keys: dialerKeys });
+  Object.assign(world, { dialer, dialerProcess: testProcess, inFlight: Promise.resolve() });
+  await Promise.all([waitForLinks(testProcess, 1), waitForLinks(world.serverProcess, 1)]);
 }
 
 Given('a link between two processes', async function (this: LinkWorld) {
-  await link(this);
+  await connectProcesses(this);
 });
 
 Given(
   'a link whose dialer has a newer key that the server lacks',
   async function (this: LinkWorld) {
-    await link(this, [OTHER_KEY, KEY], [KEY]);
+    await connectProcesses(this, [OTHER_LINK_KEY, LINK_KEY], [LINK_KEY]);
   },
 );
 
 Given('a link server that a dialer without its key dials', async function (this: LinkWorld) {
   await startServer(this, handlers);
-  dial(this, makeParty('guard-1', 'incarnation-a'), { keys: [OTHER_KEY] });
+  dial(this, makeTestProcess('guard-1', 'incarnation-a'), { keys: [OTHER_LINK_KEY] });
 });
 
 Given('a link dialer that reaches an impostor', async function (this: LinkWorld) {
   await startServer(this, handlers);
-  const party = makeParty('guard-1', 'incarnation-a');
-  this.dialerParty = party;
+  const testProcess = makeTestProcess('guard-1', 'incarnation-a');
+  this.dialerProcess = testProcess;
   // It takes any proof, but can't make one.
   const { WebSocketServer } = await import('ws');
   const impostor = new WebSocketServer({ port: 0, host: '127.0.0.1' });
-  closeLater(() => impostor.close());
+  closeAfterScenario(() => impostor.close());
   await once(impostor, 'listening');
   impostor.on('connection', (socket) => {
     const nonce = new Uint8Array(32);
-    socket.send(encode({ t: 'link.challenge', nonce }));
-    const process: ProcessId = this.serverParty.ctx.self;
+    socket.send(encodeFrame({ t: 'link.challenge', nonce }));
+    const process: ProcessId = this.serverProcess.ctx.self;
     socket.on('message', () => {
-      socket.send(encode({ t: 'link.welcome', process, key: 0, mac: nonce }));
+      socket.send(encodeFrame({ t: 'link.welcome', process, key: 0, mac: nonce }));
     });
   });
   const { port } = impostor.address() as { port: number };
-  dial(this, party, { address: `127.0.0.1:${port}` });
+  dial(this, testProcess, { address: `127.0.0.1:${port}` });
 });
 
 Given('a link dialer that expects another process', async function (this: LinkWorld) {
   await startServer(this, handlers);
-  this.dialerParty = makeParty('guard-1', 'incarnation-a');
-  dial(this, this.dialerParty, { expectId: 'entry-2' });
+  this.dialerProcess = makeTestProcess('guard-1', 'incarnation-a');
+  dial(this, this.dialerProcess, { expectId: 'entry-2' });
 });
 
 When("the link's connection is cut with a call in flight", function (this: LinkWorld) {
-  this.inFlight = kindOf(ask(this, 'never'));
+  this.inFlight = failureKind(callTimelineRead(this, 'never'));
   this.proxy.cutOpen();
 });
 
 When("the link's connection swallows everything with a call in flight", function (this: LinkWorld) {
   this.proxy.silenceOpen('both');
-  this.inFlight = kindOf(ask(this, 'never'));
+  this.inFlight = failureKind(callTimelineRead(this, 'never'));
 });
 
 When("the link's connection swallows what goes to the server", function (this: LinkWorld) {
@@ -126,13 +135,13 @@
 });
 
 When('a newer incarnation of the dialer dials the link server', async function (this: LinkWorld) {
-  const party = makeParty('guard-1', 'incarnation-b', KEY, 6);
-  dial(this, party);
-  await untilLinks(party, 1);
+  const testProcess = makeTestProcess('guard-1', 'incarnation-b', LINK_KEY, 6);
+  dial(this, testProcess);
+  await waitForLinks(testProcess, 1);
 });
 
 When('a dialer of the same name without the key dials the link server', function (this: LinkWorld) {
-  dial(this, makeParty('guard-1', 'incarnation-b', OTHER_KEY, 6));
+  dial(this, makeTestProcess('guard-1', 'incarnation-b', OTHER_LINK_KEY, 6));
 });
 
 When(
@@ -142,27 +151,27 @@
     const sockets = Array.from({ length: count }, () => connect(Number(port), host));
     sockets.forEach((socket) => {
       socket.on('error', () => {});
-      closeLater(() => socket.destroy());
+      closeAfterScenario(() => socket.destroy());
     });
     await Promise.all(sockets.map((socket) => once(socket, 'connect')));
   },
 );
 
 /** Proves itself, then says anything at all. */
-async function sendRaw(world: LinkWorld, bytes: Uint8Array | string): Promise<void> {
-  const { ctx } = makeParty('guard-2', 'incarnation-z');
+async function sendRawMessage(world: LinkWorld, bytes: Uint8Array | string): Promise<void> {
+  const { ctx } = makeTestProcess('guard-2', 'incarnation-z');
   const ws = new WebSocket(`ws://${world.proxy.address}/`, { perMessageDeflate: false });
-  closeLater(() => ws.terminate());
+  closeAfterScenario(() => ws.terminate());
   await new Promise<void>((resolve) => {
     ws.once('upgrade', ({ socket: transport }) => {
       const socket = new FrameSocket({
         socket: ws,
         transport,
-        outgoingBytes: 1e9,
+        maxBufferedBytes: 1e9,
         onEnd: () => {},
       });
-      respond(socket, { self: ctx.self, bornAt: 0, keys: [KEY] }, () => {
-        socket.receive(() => {});
+      runDialerHandshake(socket, { self: ctx.self, bornAt: 0, keys: [LINK_KEY] }, () => {
+        socket.setFrameHandler(() => {});
         resolve();
       });
     });
@@ -170,10 +179,10 @@
   ws.send(bytes);
 }
 
-const HEARTBEAT = encode({ t: 'link.heartbeat', hlc: [1, 0], bundleVersion: 1 });
-const BAD: Record<string, Uint8Array | string> = {
+const HEARTBEAT = encodeFrame({ t: 'link.heartbeat', hlc: [1, 0], bundleVersion: 1 });
+const BAD_MESSAGES: Record<string, Uint8Array | string> = {
   oversized: new Uint8Array(MAX_FRAME_BYTES + 1),
-  garbled: encode({ t: 'link.heartbeat', bundleVersion: 'seven' }),
+  garbled: encodeFrame({ t: 'link.heartbeat', bundleVersion: 'seven' }),
   truncated: HEARTBEAT.subarray(0, HEARTBEAT.byteLength - 3),
   text: 'hello',
 };
@@ -181,7 +190,7 @@
 When(
   /^a proved peer sends the link server a frame that is (\w+)$/,
   async function (this: LinkWorld, bad: string) {
-    await sendRaw(this, BAD[bad]!);
+    await sendRawMessage(this, BAD_MESSAGES[bad]!);
   },
 );
 
@@ -194,7 +203,9 @@
   '{int} calls on the link, answered in any order, each get their own answer',
   async function (this: LinkWorld, count: number) {
     const limits = Array.from({ length: count }, (_, index) => index + 1);
-    const answers = await Promise.all(limits.map((limit) => ask(this, 'shuffle', limit)));
+    const answers = await Promise.all(
+      limits.map((limit) => callTimelineRead(this, 'shuffle', limit)),
+    );
     assert.deepEqual(
       answers.map((answer) => (answer as { dropped: number }).dropped),
       limits,
@@ -205,36 +216,38 @@
 Then(
   'a call on the link that is refused rejects with {string}',
   async function (this: LinkWorld, kind: string) {
-    assert.equal(await kindOf(ask(this, 'refuse')), kind);
+    assert.equal(await failureKind(callTimelineRead(this, 'refuse')), kind);
   },
 );
 
 Then(
   'a garbled call on the link rejects with {string}',
   async function (this: LinkWorld, kind: string) {
-    assert.equal(await kindOf(ask(this, 'x', -1)), kind);
+    assert.equal(await failureKind(callTimelineRead(this, 'x', -1)), kind);
   },
 );
 
 Then(
   'a call on the link that answers too much rejects with {string}',
   async function (this: LinkWorld, kind: string) {
-    assert.equal(await kindOf(this.dialer.link!.call('bundle.fetch', { have: 0 })), kind);
+    assert.equal(await failureKind(this.dialer.link!.call('bundle.fetch', { have: 0 })), kind);
   },
 );
 
 Then(
   'a call on the link that is never answered rejects with {string}',
   async function (this: LinkWorld, kind: string) {
-    assert.equal(await kindOf(ask(this, 'never', 1, 50)), kind);
+    assert.equal(await failureKind(callTimelineRead(this, 'never', 1, 50)), kind);
   },
 );
 
 Then(
   'one call more than the link allows rejects with {string}',
   async function (this: LinkWorld, kind: string) {
-    const calls = Array.from({ length: CALLS_IN_FLIGHT }, async () => kindOf(ask(this, 'never')));
-    assert.equal(await kindOf(ask(this, 'never')), kind);
+    const calls = Array.from({ length: MAX_CALLS_IN_FLIGHT }, async () =>
+      failureKind(callTimelineRead(this, 'never')),
+    );
+    assert.equal(await failureKind(callTimelineRead(this, 'never')), kind);
     this.dialer.close();
     assert.deepEqual(new Set(await Promise.all(calls)), new Set(['lost']));
   },
@@ -245,27 +258,27 @@
 });
 
 Then('the link comes back on a new connection', async function (this: LinkWorld) {
-  await untilLinks(this.dialerParty, 2);
+  await waitForLinks(this.dialerProcess, 2);
   assert.ok(this.proxy.accepted >= 2);
 });
 
 Then("the old link's calls reject with {string}", async function (this: LinkWorld, kind: string) {
-  const [old] = this.dialerParty.links;
-  assert.equal(await kindOf(old!.call('process.status', {})), kind);
+  const [old] = this.dialerProcess.links;
+  assert.equal(await failureKind(old!.call('process.status', {})), kind);
 });
 
 Then('both ends of the link count {string}', async function (this: LinkWorld, name: string) {
   // A dialer that is back first supersedes the silent link at the server.
-  const silent = this.dialerParty.metrics.until(name);
-  const [atServer] = this.serverParty.links;
+  const silent = this.dialerProcess.metrics.waitForCounter(name);
+  const [atServer] = this.serverProcess.links;
   await Promise.all([silent, atServer!.ended]);
   assert.ok(['silence', 'superseded'].includes(await atServer!.ended));
 });
 
 Then("the link tells both ends the other's bundle version", async function (this: LinkWorld) {
   const versions = await Promise.all([
-    once(this.serverParty.events, 'version'),
-    once(this.dialerParty.events, 'version'),
+    once(this.serverProcess.events, 'version'),
+    once(this.dialerProcess.events, 'version'),
   ]);
   assert.deepEqual(versions.flat(), [9, 7]);
 });
@@ -273,16 +286,16 @@
 Then(
   "the older incarnation's link is closed as {string}",
   async function (this: LinkWorld, reason: string) {
-    assert.equal(await this.serverParty.links[0]!.ended, reason);
+    assert.equal(await this.serverProcess.links[0]!.ended, reason);
   },
 );
 
 Then('the link server counts {string}', async function (this: LinkWorld, name: string) {
-  await this.serverParty.metrics.until(name);
+  await this.serverProcess.metrics.waitForCounter(name);
 });
 
 Then('the link dialer counts {string}', async function (this: LinkWorld, name: string) {
-  await this.dialerParty.metrics.until(name);
+  await this.dialerProcess.metrics.waitForCounter(name);
 });
 
 Then('the link server has {int} links', function (this: LinkWorld, count: number) {
@@ -292,17 +305,21 @@
 When(
   '{int} calls on the link are answered and the dialer closes it',
   async function (this: LinkWorld, count: number) {
-    await Promise.all(Array.from({ length: count }, (_, n) => ask(this, 'shuffle', n + 1)));
+    await Promise.all(
+      Array.from({ length: count }, (_, n) => callTimelineRead(this, 'shuffle', n + 1)),
+    );
     this.dialer.close();
-    await Promise.all([...this.serverParty.links, ...this.dialerParty.links].map((l) => l.ended));
+    await Promise.all(
+      [...this.serverProcess.links, ...this.dialerProcess.links].map((l) => l.ended),
+    );
   },
 );
 
 Then(
   'both ends of the link counted the same frames and bytes to the server',
   function (this: LinkWorld) {
-    const { traffic: atDialer } = this.dialerParty.links[0]!;
-    const { traffic: atServer } = this.serverParty.links[0]!;
+    const { traffic: atDialer } = this.dialerProcess.links[0]!;
+    const { traffic: atServer } = this.serverProcess.links[0]!;
     assert.ok(atDialer.framesOut >= 20);
     assert.equal(atServer.framesIn, atDialer.framesOut);
     assert.equal(atServer.bytesIn, atDialer.bytesOut);
@@ -311,9 +328,9 @@
 );
 
 Then("the link server's metrics hold what its link counted", function (this: LinkWorld) {
-  const { ctx, metrics, links } = this.serverParty;
+  const { ctx, metrics, links } = this.serverProcess;
   const { traffic } = links[0]!;
-  assert.deepEqual(linkTraffic(ctx), traffic);
+  assert.deepEqual(totalLinkTraffic(ctx), traffic);
   assert.equal(metrics.counters.get('link.frames.in'), traffic.framesIn);
   assert.equal(metrics.counters.get('link.frames.out'), traffic.framesOut);
   assert.equal(metrics.counters.get('link.bytes.in'), traffic.bytesIn);
@@ -323,7 +340,9 @@
 Then(
   'both ends of the link count {string} with their heartbeats',
   async function (this: LinkWorld, name: string) {
-    await Promise.all([this.serverParty, this.dialerParty].map((each) => each.metrics.until(name)));
+    await Promise.all(
+      [this.serverProcess, this.dialerProcess].map((each) => each.metrics.waitForCounter(name)),
+    );
     assert.ok(!this.dialer.link!.closed);
   },
 );
--- a/packages/link/src/listen.ts
+++ b/packages/link/src/listen.ts
@@ -4,7 +4,7 @@
 import { ProblemError, problem } from '@zincspan/core';
 import { parseAddress } from './address.js';
 
-const REASONS: Record<string, string> = {
+const LISTEN_ERROR_REASONS: Record<string, string> = {
   EADDRINUSE: 'another process listens there',
   EADDRNOTAVAIL: 'this VM has no such IP number',
   EACCES: 'this process may not use that port',
@@ -14,23 +14,23 @@
 export async function listenOn(server: Server, address: string): Promise<string> {
   const { host, port } = parseAddress(address);
   await new Promise<void>((resolve, reject) => {
-    const refuse = (err: NodeJS.ErrnoException): void => reject(listenProblem(address, err));
-    server.once('error', refuse);
+    const onError = (err: NodeJS.ErrnoException): void => reject(listenProblem(address, err));
+    server.once('error', onError);
     server.listen(port, host, () => {
-      server.off('error', refuse);
+      server.off('error', onError);
       resolve();
     });
   });
-  const { port: actual } = server.address() as AddressInfo;
-  return `${host.includes(':') ? `[${host}]` : host}:${actual}`;
+  const { port: boundPort } = server.address() as AddressInfo;
+  return `${host.includes(':') ? `[${host}]` : host}:${boundPort}`;
 }
 
 /** Why an address of the settings can't be listened on. */
 export function listenProblem(address: string, err: NodeJS.ErrnoException): ProblemError {
-  const why = REASONS[err.code ?? ''] ?? err.message;
+  const reason = LISTEN_ERROR_REASONS[err.code ?? ''] ?? err.message;
   return new ProblemError(
     problem('bad-input', {
-      detail: `${address} can't be listened on: ${why}.`,
+      detail: `${address} can't be listened on: ${reason}.`,
       remedy: 'Correct the address in the settings, or end the process that holds it.',
     }),
   );
--- a/packages/link/src/pending-calls.ts
+++ b/packages/link/src/pending-calls.ts
@@ -1,7 +1,7 @@
 /** Calls that wait for their answers, matched by number whatever order these come in. */
 import { LinkError, ProblemError, problem } from '@zincspan/core';
 
-interface Pending {
+interface PendingCall {
   resolve: (body: unknown) => void;
   reject: (err: Error) => void;
   timer: NodeJS.Timeout;
@@ -11,7 +11,7 @@
 export class PendingCalls {
   readonly #bound: number;
 
-  readonly #calls = new Map<number, Pending>();
+  readonly #calls = new Map<number, PendingCall>();
 
   #lastId = 0;
 
@@ -24,7 +24,7 @@
   }
 
   /** Opens a call. Throws ProblemError `overloaded` at the bound. */
-  open(timeoutMs: number): { id: number; answer: Promise<unknown> } {
+  register(timeoutMs: number): { id: number; answer: Promise<unknown> } {
     if (this.#calls.size >= this.#bound) throw overloaded(this.#bound);
     this.#lastId += 1;
     const id = this.#lastId;
@@ -52,12 +52,12 @@
     [...this.#calls.keys()].forEach((id) => this.reject(id, makeError()));
   }
 
-  #settle(id: number, how: (call: Pending) => void): boolean {
+  #settle(id: number, settle: (call: PendingCall) => void): boolean {
     const call = this.#calls.get(id);
     if (!call) return false;
     this.#calls.delete(id);
     clearTimeout(call.timer);
-    how(call);
+    settle(call);
     return true;
   }
 }
--- a/packages/link/src/traffic.ts
+++ b/packages/link/src/traffic.ts
@@ -9,7 +9,7 @@
   bytesOut: number;
 }
 
-const NONE: Traffic = { framesIn: 0, framesOut: 0, bytesIn: 0, bytesOut: 0 };
+const NO_TRAFFIC: Traffic = { framesIn: 0, framesOut: 0, bytesIn: 0, bytesOut: 0 };
 
 function sum(a: Traffic, b: Traffic): Traffic {
   return {
@@ -37,18 +37,18 @@
 
   readonly #meters = new Set<TrafficMeter>();
 
-  #ended = NONE;
+  #endedLinks = NO_TRAFFIC;
 
-  #reported = NONE;
+  #lastReported = NO_TRAFFIC;
 
-  #reportedAt = -Infinity;
+  #lastReportedAt = -Infinity;
 
   private constructor(ctx: ProcessContext) {
     this.#ctx = ctx;
   }
 
   /** The totals of this process. */
-  static of(ctx: ProcessContext): TrafficTotals {
+  static forProcess(ctx: ProcessContext): TrafficTotals {
     const known = TrafficTotals.#byProcess.get(ctx);
     if (known !== undefined) return known;
     const created = new TrafficTotals(ctx);
@@ -58,25 +58,25 @@
 
   /** Live links and those that ended. */
   get total(): Traffic {
-    return [...this.#meters].reduce((total, { traffic }) => sum(total, traffic), this.#ended);
+    return [...this.#meters].reduce((total, { traffic }) => sum(total, traffic), this.#endedLinks);
   }
 
-  open(meter: TrafficMeter): void {
+  addMeter(meter: TrafficMeter): void {
     this.#meters.add(meter);
   }
 
-  end(meter: TrafficMeter): void {
-    if (this.#meters.delete(meter)) this.#ended = sum(this.#ended, meter.traffic);
+  removeMeter(meter: TrafficMeter): void {
+    if (this.#meters.delete(meter)) this.#endedLinks = sum(this.#endedLinks, meter.traffic);
   }
 
   /** Adds what came since the last report to the metrics, if that was `everyMs` ago or more. */
   report(everyMs = 0): void {
     const now = this.#ctx.clock.now();
-    if (now - this.#reportedAt < everyMs) return;
+    if (now - this.#lastReportedAt < everyMs) return;
     const { total } = this;
-    const { framesIn, framesOut, bytesIn, bytesOut } = difference(total, this.#reported);
-    this.#reported = total;
-    this.#reportedAt = now;
+    const { framesIn, framesOut, bytesIn, bytesOut } = difference(total, this.#lastReported);
+    this.#lastReported = total;
+    this.#lastReportedAt = now;
     const { metrics } = this.#ctx;
     metrics.count('link.frames.in', framesIn);
     metrics.count('link.frames.out', framesOut);
@@ -92,9 +92,9 @@
   readonly #read: () => Traffic;
 
   constructor({ ctx, read }: { ctx: ProcessContext; read: () => Traffic }) {
-    this.#totals = TrafficTotals.of(ctx);
+    this.#totals = TrafficTotals.forProcess(ctx);
     this.#read = read;
-    this.#totals.open(this);
+    this.#totals.addMeter(this);
   }
 
   get traffic(): Traffic {
@@ -107,13 +107,13 @@
   }
 
   /** The link is over: what it counted stays in the totals. */
-  end(): void {
-    this.#totals.end(this);
+  finish(): void {
+    this.#totals.removeMeter(this);
     this.#totals.report();
   }
 }
 
 /** Totals over all links of a process, live and ended, as of now. */
-export function linkTraffic(ctx: ProcessContext): Traffic {
-  return TrafficTotals.of(ctx).total;
+export function totalLinkTraffic(ctx: ProcessContext): Traffic {
+  return TrafficTotals.forProcess(ctx).total;
 }
