--- a/packages/link/src/accepted-peers.ts
+++ b/packages/link/src/accepted-peers.ts
@@ -1,9 +1,10 @@
 /**
- * Which accepted link stands for each process, and which incarnation may replace which.
+ * The current accepted link of each process, and the rule for when another incarnation may replace it.
  *
- * A new link of the same incarnation replaces the older one. Another incarnation replaces it unless it was itself
- * replaced here before, or started earlier by its calendar while the present link is still live. So a paused old
- * process can't push out its successor, and one with a wrong calendar waits only until the old link falls silent.
+ * A new link from the same incarnation replaces the current one. A different incarnation is refused if this server has
+ * already seen it replaced, or if the current link is still open and the newcomer's start time (by its own wall clock)
+ * is earlier. A paused old process therefore can't displace its successor, and a successor whose wall clock is wrong
+ * has to wait only until the old link times out.
  */
 import type { ProcessId } from '@zincspan/core';
 import type { Link } from './link.js';
@@ -13,18 +14,18 @@
   incarnation: string;
   bornAt: number;
   link: Link | undefined;
-  /** Incarnations replaced here, latest last. */
+  /** Earlier incarnations replaced on this server, latest last. */
   replacedIncarnations: string[];
 }
 
 const MAX_REPLACED_INCARNATIONS = 8;
 const MAX_PROCESSES = 8192;
 
-/** Links accepted by one server, by process id. Only authenticated ones come here. */
+/** Authenticated links accepted by one server, by process id. */
 export class AcceptedPeers {
   readonly #processes = new Map<string, AcceptedPeer>();
 
-  /** Throws LinkFault `stale-incarnation` if this incarnation may not replace the one known. */
+  /** Throws LinkCloseError `stale-incarnation` if this incarnation may not replace the current one. */
   checkIncarnation({ id, incarnation }: ProcessId, bornAt: number): void {
     const known = this.#processes.get(id);
     if (!known || known.incarnation === incarnation) return;
@@ -33,17 +34,17 @@
     if (!wasReplaced && !startedEarlier) return;
     throw new LinkCloseError(
       'stale-incarnation',
-      `Incarnation ${incarnation} of ${id} was replaced.`,
+      `Incarnation ${incarnation} of ${id} has been replaced or is older than the connected one.`,
     );
   }
 
-  /** Puts a checked link in the place of the older one, which is closed. */
+  /** Makes this the link of its process and closes the previous one. Call `checkIncarnation` first. */
   acceptLink(link: Link, bornAt: number): void {
     const { id, incarnation } = link.process;
     const known = this.#processes.get(id);
     const replacedIncarnations = known?.replacedIncarnations ?? [];
     if (known && known.incarnation !== incarnation) replacedIncarnations.push(known.incarnation);
-    known?.link?.close('superseded', 'A newer link of the same process took over.');
+    known?.link?.close('superseded', 'A newer link of the same process replaced this one.');
     this.#processes.delete(id);
     this.#processes.set(id, {
       incarnation,
--- a/packages/link/src/address.ts
+++ b/packages/link/src/address.ts
@@ -1,6 +1,6 @@
-/** Addresses as settings write them. */
+/** Parsing of addresses from the settings. */
 
-/** Parts of `IP:port`; IPv6 addresses come bracketed. */
+/** Splits `IP:port`; IPv6 addresses are in brackets. */
 export function parseAddress(address: string): { host: string; port: number } {
   const colon = address.lastIndexOf(':');
   return {
--- a/packages/link/src/dialer.ts
+++ b/packages/link/src/dialer.ts
@@ -1,4 +1,4 @@
-/** Keeps one link to one address: dials, redials on a new connection when it ends. */
+/** Keeps a link to one address: when it ends, dials again on a new connection. */
 import type { IncomingMessage } from 'node:http';
 import { WebSocket } from 'ws';
 import type { ProcessId } from '@zincspan/core';
@@ -14,7 +14,7 @@
 } from './link-options.js';
 import { FrameSocket } from './frame-socket.js';
 
-/** Waits between dials, in ms. The first redial after a link that was up comes at once. */
+/** Delays between dials. The first redial after a link that stayed up longer than `maxMs` is immediate. */
 export interface RedialBackoff {
   firstMs: number;
   maxMs: number;
@@ -23,16 +23,16 @@
 export interface DialerOptions extends LinkOptions {
   /** `IP:port`. */
   address: string;
-  /** Refuses any other process at the address. */
+  /** Id of the process at the address; any other is refused. */
   expectId?: string;
   backoff?: Partial<RedialBackoff>;
-  /** For jitter: 0 to 1. */
+  /** Source of jitter, 0 to 1; Math.random by default. */
   random?: () => number;
 }
 
 const DEFAULT_REDIAL_BACKOFF: RedialBackoff = { firstMs: 50, maxMs: 2000 };
 
-/** Dials until it is closed. */
+/** Dials and redials until it is closed. */
 export class Dialer {
   readonly #options: DialerOptions;
 
@@ -60,7 +60,7 @@
     this.#backoff = { ...DEFAULT_REDIAL_BACKOFF, ...options.backoff };
   }
 
-  /** The live link, if there is one. */
+  /** The open link, if there is one. */
   get link(): Link | undefined {
     return this.#link;
   }
@@ -92,10 +92,10 @@
     };
     this.#endConnection = end;
     this.#handshakeTimer = setTimeout(
-      () => end(new LinkCloseError('handshake-timeout', 'The handshake took too long.')),
+      () => end(new LinkCloseError('handshake-timeout', 'The handshake timed out.')),
       this.#limits.handshakeTimeoutMs,
     );
-    // Once upgraded, the frame socket reports errors more closely.
+    // After the upgrade the frame socket reports errors, with a more exact reason.
     socket.on('error', ({ message }) => {
       if (state === 'dialling') end(new LinkCloseError('unreachable', message));
     });
@@ -120,7 +120,10 @@
     });
     runDialerHandshake(socket, { self: ctx.self, bornAt, keys }, (process) => {
       if (expectId !== undefined && process.id !== expectId) {
-        throw new LinkCloseError('wrong-peer', `Expected ${expectId}, found ${process.id}.`);
+        throw new LinkCloseError(
+          'wrong-peer',
+          `Expected process ${expectId}, but ${process.id} answered.`,
+        );
       }
       clearTimeout(this.#handshakeTimer);
       this.#openLink(socket, process);
@@ -147,7 +150,7 @@
     this.#redialTimer = setTimeout(() => this.#dial(), this.#redialDelayMs(upMs));
   }
 
-  /** A link that held is redialled at once; one that falls again and again is not. */
+  /** A link that stayed up is redialled at once; failed dials and short-lived links back off exponentially. */
   #redialDelayMs(upMs: number): number {
     const { firstMs, maxMs } = this.#backoff;
     if (upMs > maxMs) {
--- a/packages/link/src/frame-socket.ts
+++ b/packages/link/src/frame-socket.ts
@@ -1,26 +1,26 @@
-/** One WebSocket with frames on it: bounded both ways, its end reported once. */
+/** Sends and receives frames over one WebSocket, within limits in both directions. */
 import type { Duplex } from 'node:stream';
 import type { WebSocket } from 'ws';
 import { MAX_FRAME_BYTES, decodeFrame, encodeFrame } from './frame.js';
 import { LinkCloseError } from './link-options.js';
 import type { Traffic } from './traffic.js';
 
-/** `outgoingBytes` bounds what is written but not yet taken by the network. */
 export interface FrameSocketOptions {
   socket: WebSocket;
-  /** The TCP connection below, for the count of bytes received. */
+  /** The underlying TCP connection, for its byte counts. */
   transport: Duplex;
+  /** Bytes that may be queued for the network; above this, no further frames are sent. */
   maxBufferedBytes: number;
+  /** Called once. */
   onEnd: (closeError: LinkCloseError) => void;
 }
 
-/** What became of a frame. `full`: the outgoing bound is reached. */
+/** Result of sending a frame. `full`: more than `maxBufferedBytes` are waiting to be written. */
 export type SendResult = 'sent' | 'closed' | 'full' | 'too-long';
 
-/** Error codes of ws for frames over its `maxPayload`. */
+/** Error code of ws for a message over its `maxPayload`. */
 const WS_MESSAGE_TOO_LONG = 'WS_ERR_UNSUPPORTED_MESSAGE_LENGTH';
 
-/** Sends and receives frames until its end. */
 export class FrameSocket {
   #onFrame: ((frame: unknown) => void) | undefined;
 
@@ -44,17 +44,17 @@
     socket.on('message', (data: Buffer, isBinary) => this.#handleMessage(data, isBinary));
     socket.on('error', (err: Error & { code?: string }) => this.end(toCloseError(err)));
     socket.on('close', () =>
-      this.end(new LinkCloseError('closed-by-peer', 'The peer closed the link.')),
+      this.end(new LinkCloseError('closed-by-peer', 'The peer closed the connection.')),
     );
   }
 
-  /** Frames and bytes so far, the handshake included. */
+  /** Frames and bytes so far, including the handshake. */
   get traffic(): Traffic {
     const { bytesRead = 0, bytesWritten = 0 } = this.#transport;
     return { ...this.#frames, bytesIn: bytesRead, bytesOut: bytesWritten };
   }
 
-  /** Bytes received so far: silence is when this doesn't grow. */
+  /** Bytes received so far; a peer is silent while this doesn't grow. */
   get bytesRead(): number {
     return this.#transport.bytesRead ?? 0;
   }
@@ -63,12 +63,12 @@
     return this.#ended;
   }
 
-  /** Who gets the frames from now on. It may throw LinkFault to end the socket. */
+  /** Replaces the handler of received frames. It may throw LinkCloseError to end the connection. */
   setFrameHandler(onFrame: (frame: unknown) => void): void {
     this.#onFrame = onFrame;
   }
 
-  /** Writes a frame. Anything but `sent` means that it surely wasn't. */
+  /** Writes a frame. Any result but `sent` guarantees that it was not sent. */
   send(frame: object): SendResult {
     if (this.#ended || this.#socket.readyState !== this.#socket.OPEN) return 'closed';
     if (this.#socket.bufferedAmount > this.#maxBufferedBytes) return 'full';
@@ -79,11 +79,11 @@
     return 'sent';
   }
 
-  /** Ends it at once, without waiting for the peer. */
+  /** Ends the connection at once, without waiting for the peer. */
   end(closeError: LinkCloseError): void {
     if (this.#ended) return;
     this.#ended = true;
-    // A graceful end flushes what was written; a silent peer must not hold the socket open.
+    // A graceful close flushes what was written; in all other cases a silent peer must not hold the socket open.
     if (closeError.reason === 'closed') this.#socket.close(1000);
     else this.#socket.terminate();
     this.#onEnd(closeError);
@@ -93,8 +93,7 @@
     if (this.#ended) return;
     this.#frames.framesIn += 1;
     try {
-      if (!isBinary)
-        throw new LinkCloseError('garbled', 'A text message came where frames are binary.');
+      if (!isBinary) throw new LinkCloseError('garbled', 'Expected a binary message, got text.');
       this.#onFrame?.(decodeFrame(data));
     } catch (err) {
       this.end(err instanceof LinkCloseError ? err : new LinkCloseError('garbled', String(err)));
--- a/packages/link/src/frame.ts
+++ b/packages/link/src/frame.ts
@@ -1,12 +1,14 @@
-/** Frames of a link: what they look like, how long they may be, how they are written. */
+/** Frames of a link: their schemas, maximum size and encoding. */
 import { MAX_BODY_BYTES, hybridStampSchema, processIdSchema, problemSchema } from '@zincspan/core';
 import { Packr } from 'msgpackr';
 import * as z from 'zod';
 
-/** Longest frame, in bytes: the longest body plus what surrounds it. */
+/** Longest frame, in bytes: the longest body plus 64 KiB for the fields around it. */
 export const MAX_FRAME_BYTES = MAX_BODY_BYTES + 65_536;
 
-const nonce = z.instanceof(Uint8Array).refine((bytes) => bytes.byteLength === 32, 'want 32 bytes');
+const nonce = z
+  .instanceof(Uint8Array)
+  .refine((bytes) => bytes.byteLength === 32, 'must be 32 bytes');
 const mac = nonce;
 
 /** Frames of the handshake, in this order: challenge (server), proof (dialer), welcome (server). */
@@ -14,7 +16,7 @@
 export const proofSchema = z.strictObject({
   t: z.literal('link.proof'),
   process: processIdSchema,
-  /** When the process started by its own calendar, in ms: tells which of two incarnations is the older. */
+  /** When the process started by its own wall clock, in ms: tells which of two incarnations is older. */
   bornAt: z.number().min(0),
   nonce,
   /** One for each key that the dialer holds, newest first. */
@@ -23,7 +25,7 @@
 export const welcomeSchema = z.strictObject({
   t: z.literal('link.welcome'),
   process: processIdSchema,
-  /** Which of the dialer's proofs was accepted. */
+  /** Index of the accepted entry in the dialer's `macs`. */
   key: z.int().min(0),
   mac,
 });
@@ -32,7 +34,7 @@
 
 const hlc = hybridStampSchema;
 
-/** Frames of a link that is up. `t` is a method or `link.heartbeat`. */
+/** Frames after the handshake. `t` is a method or `link.heartbeat`. */
 export const callSchema = z.strictObject({
   t: z.string().max(64),
   id: z.int().min(1),
@@ -55,15 +57,14 @@
 export const frameSchema = z.union([heartbeatSchema, callSchema, responseSchema]);
 export type Frame = z.infer<typeof frameSchema>;
 
-// Copied buffers let a kept body outlive its frame without holding on to all of it.
+// `copyBuffers`: a body that is kept would otherwise keep the memory of its whole frame.
 const packr = new Packr({ useRecords: false, copyBuffers: true, encodeUndefinedAsNil: false });
 
-/** The bytes of a frame. */
 export function encodeFrame(frame: object): Uint8Array {
   return packr.pack(frame);
 }
 
-/** The value in the bytes; throws on anything truncated or garbled. */
+/** Decodes a frame; throws if the bytes are truncated or malformed. */
 export function decodeFrame(bytes: Uint8Array): unknown {
   return packr.unpack(bytes);
 }
--- a/packages/link/src/handshake-mac.ts
+++ b/packages/link/src/handshake-mac.ts
@@ -1,16 +1,18 @@
-/** Mutual proof that both ends hold a shared link key: HMAC-SHA-256 over fresh nonces and both names. */
+/**
+ * MACs by which both ends prove that they hold a shared link key: HMAC-SHA-256 over both fresh nonces and the identity
+ * of the sender.
+ */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { ProcessId } from '@zincspan/core';
 
-/** A fresh challenge. */
 export function newNonce(): Uint8Array {
   return randomBytes(32);
 }
 
-/** What a proof is about. */
+/** What a MAC is computed over, and the key. */
 export interface MacInput {
   key: string;
-  /** Whose proof it is, so that neither end's can be played back as the other's. */
+  /** Which end sends the MAC, so that neither end's MAC can be replayed as the other's. */
   side: 'dialer' | 'server';
   serverNonce: Uint8Array;
   dialerNonce: Uint8Array;
@@ -18,7 +20,6 @@
   bornAt?: number;
 }
 
-/** The proof of one key. */
 export function computeMac({
   key,
   side,
@@ -34,7 +35,7 @@
     .digest();
 }
 
-/** Compares two proofs in constant time. */
+/** Compares two MACs in constant time. */
 export function macsEqual(a: Uint8Array, b: Uint8Array): boolean {
   return a.byteLength === b.byteLength && timingSafeEqual(a, b);
 }
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -1,18 +1,21 @@
-/** The handshake at either end: challenge, proof, welcome. */
+/** Both sides of the handshake: challenge, proof, welcome. */
 import type { ProcessId } from '@zincspan/core';
 import { newNonce, computeMac, macsEqual } from './handshake-mac.js';
 import { challengeSchema, proofSchema, welcomeSchema, type Proof } from './frame.js';
 import { LinkCloseError } from './link-options.js';
 import type { FrameSocket } from './frame-socket.js';
 
-/** Who this end is, and its keys, newest first. */
+/** Identity of this process and its link keys, newest first. */
 export interface LocalIdentity {
   self: ProcessId;
   bornAt: number;
   keys: string[];
 }
 
-/** Checks a dialer. `check` may refuse a proved one by throwing; `onUp` comes after the welcome. */
+/**
+ * Authenticates a dialer. `check` may still refuse an authenticated one by throwing; `onAuthenticated` is called after
+ * the welcome has been sent.
+ */
 export function runServerHandshake(
   socket: FrameSocket,
   { self, keys }: LocalIdentity,
@@ -34,7 +37,10 @@
       }))
       .find(({ key }) => key !== undefined);
     if (match?.key === undefined) {
-      throw new LinkCloseError('not-authentic', 'The dialer has no key of ours.');
+      throw new LinkCloseError(
+        'not-authentic',
+        'The dialer holds none of the link keys of this server.',
+      );
     }
     const mac = computeMac({
       key: match.key,
@@ -50,7 +56,7 @@
   socket.send({ t: 'link.challenge', nonce: serverNonce });
 }
 
-/** Proves this end to a server and checks the server. `onWelcome` gets who it is. */
+/** Authenticates this end to a server, and the server in turn. `onWelcome` gets the server's identity. */
 export function runDialerHandshake(
   socket: FrameSocket,
   { self, bornAt, keys }: LocalIdentity,
@@ -66,7 +72,10 @@
       const key = keys[index] ?? '';
       const expected = computeMac({ key, side: 'server', serverNonce, dialerNonce, process });
       if (!key || !macsEqual(expected, mac)) {
-        throw new LinkCloseError('not-authentic', 'The server has no key of ours.');
+        throw new LinkCloseError(
+          'not-authentic',
+          'The server holds none of the link keys of this dialer.',
+        );
       }
       onWelcome(process);
     });
@@ -80,5 +89,5 @@
 ): T {
   const parsed = schema.safeParse(frame);
   if (parsed.success) return parsed.data;
-  throw new LinkCloseError('garbled', 'A frame of the handshake is not as agreed.');
+  throw new LinkCloseError('garbled', 'A handshake frame does not match its schema.');
 }
--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -1,4 +1,4 @@
-/** Links between zincspan's processes: typed calls over WebSockets, with heartbeats and redial. */
+/** Links between zincspan processes: typed calls over WebSockets, with heartbeats and automatic redial. */
 export * from './address.js';
 export * from './listen.js';
 export * from './dialer.js';
--- a/packages/link/src/keep-alive.ts
+++ b/packages/link/src/keep-alive.ts
@@ -1,15 +1,15 @@
-/** Beats on an idle link and notices when the other end falls silent. */
+/** Sends heartbeats on an idle link and detects when the peer falls silent. */
 import type { Clock } from '@zincspan/core';
 
-/** What a watch needs. Times in ms. */
+/** Times in ms. */
 export interface KeepAliveOptions {
   clock: Clock;
   everyMs: number;
   silenceMs: number;
-  /** Bytes received so far: any growth is a sign of life, so a long frame on a slow path counts. */
+  /** Bytes received so far. Any growth counts as a sign of life, so that a long frame on a slow network does too. */
   bytesRead: () => number;
   sendHeartbeat: () => void;
-  /** Called at each look, at least twice within `everyMs`. */
+  /** Called at each check, usually at least twice per `everyMs`. */
   onTick?: () => void;
   onSilence: (ms: number) => void;
 }
@@ -41,7 +41,7 @@
     this.#timer = setInterval(() => this.#tick(), this.#tickMs);
   }
 
-  /** Something was sent, so no heartbeat is due for a while. */
+  /** Records that a frame was sent, which postpones the next heartbeat. */
   noteSent(): void {
     this.#lastSentAt = this.#options.clock.now();
   }
@@ -62,7 +62,7 @@
     }
     if (now - this.#lastSentAt >= everyMs) sendHeartbeat();
     onTick?.();
-    // After a stall of this process unread bytes may wait in the socket: look again at the next tick.
+    // After a stall of this process, unread bytes may be waiting in the socket: check again at the next tick.
     if (stalled || now - this.#lastReceivedAt <= silenceMs) return;
     onSilence(now - this.#lastReceivedAt);
   }
--- a/packages/link/src/link-options.ts
+++ b/packages/link/src/link-options.ts
@@ -1,4 +1,4 @@
-/** What a link server and a dialer are built from. */
+/** Options, limits and close reasons that the link server and the dialer share. */
 import type { Handlers, ProcessContext } from '@zincspan/core';
 import type { Link } from './link.js';
 
@@ -18,28 +18,27 @@
   | 'too-many'
   | 'unreachable';
 
-/** Typed error of a link's end; counted as `link.closed.<reason>`. */
+/** Why a link or connection was closed; counted as `link.closed.<reason>`. */
 export class LinkCloseError extends Error {
   readonly reason: CloseReason;
 
   constructor(reason: CloseReason, detail: string) {
     super(detail);
-    this.name = 'LinkFault';
+    this.name = 'LinkCloseError';
     this.reason = reason;
   }
 }
 
-/** Bounds of one link. */
+/** Limits of one link, and of the handshakes of a server. */
 export interface LinkLimits {
-  /** Calls without an answer yet, each way. */
+  /** Outstanding calls in each direction. */
   maxCallsInFlight: number;
-  /** Bytes written but not yet taken by the network. */
+  /** Bytes that may be queued for the network; above this, no further frames are sent. */
   maxBufferedBytes: number;
-  /** Longest handshake, in ms. */
   handshakeTimeoutMs: number;
-  /** Connections of a server that haven't proved themselves yet. */
+  /** Connections of a server that are not authenticated yet. */
   maxUnauthenticated: number;
-  /** A call without a timeout of its own, in ms. */
+  /** Default timeout of a call. */
   callTimeoutMs: number;
 }
 
@@ -51,32 +50,32 @@
   callTimeoutMs: 30_000,
 };
 
-/** Calls a hook of the link's user. What it throws is its own fault and must not end the link. */
+/** Runs a callback from the options. An exception in it is logged and must not end the link. */
 export function callHook(ctx: ProcessContext, hook: () => void): void {
   try {
     hook();
   } catch (err) {
     ctx.metrics.count('link.hook.failed');
-    ctx.log.error({ err }, 'a hook of the link failed');
+    ctx.log.error({ err }, 'link callback threw an exception');
   }
 }
 
-/** Common to both ends. */
+/** Options of both the link server and the dialer. */
 export interface LinkOptions {
   ctx: ProcessContext;
-  /** Shared secrets, newest first; any of them is accepted. */
+  /** Shared link keys, newest first; a peer may prove any of them. */
   keys: string[];
   handlers: Handlers;
   heartbeat: { everyMs: number; silenceMs: number };
-  /** A link is up and authenticated. `link.ended` tells when it is over. */
+  /** Called when a link has been authenticated. `link.ended` settles when it is over. */
   onPeer?: (link: Link) => void;
-  /** The peer's bundle version, from each of its heartbeats. */
+  /** Called with the peer's bundle version on each of its heartbeats. */
   onBundleVersion?: (link: Link, version: number) => void;
-  /** Own bundle version, told in heartbeats. */
+  /** Bundle version to send in heartbeats. */
   bundleVersion?: () => number;
-  /** Small status told in heartbeats. */
+  /** Small status object to send in heartbeats. */
   status?: () => Record<string, unknown>;
   limits?: Partial<LinkLimits>;
-  /** When this process started by its calendar, in ms. */
+  /** When this process started by its wall clock, in ms. */
   bornAt?: number;
 }
--- a/packages/link/src/link-server.ts
+++ b/packages/link/src/link-server.ts
@@ -1,4 +1,4 @@
-/** Accepts links from dialers. */
+/** Server end of links: listens for dialers. */
 import { createServer, type Server } from 'node:http';
 import type { Socket } from 'node:net';
 import { WebSocketServer, type WebSocket } from 'ws';
@@ -16,14 +16,14 @@
 } from './link-options.js';
 import { FrameSocket } from './frame-socket.js';
 
-/** Listens on `listen` (`IP:port`, port 0 for any). */
 export interface LinkServerOptions extends LinkOptions {
+  /** `IP:port`; port 0 for any free one. */
   listen: string;
 }
 
 const CLOSE_TIMEOUT_MS = 1000;
 
-/** A listener whose links are all authenticated before they count. */
+/** Accepts connections; each becomes a link only once it is authenticated. */
 export class LinkServer {
   readonly #options: LinkServerOptions;
 
@@ -35,7 +35,7 @@
 
   readonly #acceptedPeers = new AcceptedPeers();
 
-  /** Connections that haven't proved themselves. */
+  /** Connections that are not authenticated yet. */
   readonly #unauthenticated = new Set<Socket>();
 
   readonly #connections = new Set<Socket>();
@@ -53,19 +53,19 @@
       clientTracking: false,
     });
     this.#httpServer.on('connection', (socket: Socket) => this.#trackConnection(socket));
-    // It repeats the HTTP server's errors, which `start` reports.
+    // The WebSocket server repeats the errors of the HTTP server, which `start` reports.
     this.#webSocketServer.on('error', () => undefined);
     this.#webSocketServer.on('connection', (socket, req) =>
       this.#startHandshake(socket, req.socket),
     );
   }
 
-  /** Starts to listen; answers the address. */
+  /** Starts listening; returns the address with the bound port. */
   start(): Promise<string> {
     return listenOn(this.#httpServer, this.#options.listen);
   }
 
-  /** Live links. */
+  /** Open links. */
   links(): Link[] {
     return this.#acceptedPeers.links();
   }
@@ -77,7 +77,7 @@
     });
     this.links().forEach((link) => link.close());
     this.#unauthenticated.forEach((socket) => socket.destroy());
-    // A silent peer doesn't answer the goodbye.
+    // A silent peer doesn't answer the close frame.
     const timer = setTimeout(
       () => this.#connections.forEach((socket) => socket.destroy()),
       CLOSE_TIMEOUT_MS,
@@ -89,7 +89,7 @@
   #trackConnection(socket: Socket): void {
     if (this.#unauthenticated.size >= this.#limits.maxUnauthenticated) {
       this.#countClose(
-        new LinkCloseError('too-many', 'Too many connections are in their handshake.'),
+        new LinkCloseError('too-many', 'Too many connections are not authenticated yet.'),
       );
       socket.destroy();
       return;
@@ -99,7 +99,7 @@
     this.#unauthenticated.add(socket);
     const timer = setTimeout(() => {
       if (!this.#unauthenticated.has(socket)) return;
-      this.#countClose(new LinkCloseError('handshake-timeout', 'The handshake took too long.'));
+      this.#countClose(new LinkCloseError('handshake-timeout', 'The handshake timed out.'));
       socket.destroy();
     }, this.#limits.handshakeTimeoutMs);
     socket.once('close', () => {
--- a/packages/link/src/link-world.support.ts
+++ b/packages/link/src/link-world.support.ts
@@ -1,4 +1,4 @@
-/** Two processes, a lossy proxy between them, and whoever else dials. */
+/** A link server and dialers in one process, connected through a lossy proxy. */
 import { EventEmitter, once } from 'node:events';
 import { After } from '@cucumber/cucumber';
 import {
@@ -20,7 +20,7 @@
 export const MAX_CALLS_IN_FLIGHT = 60;
 export const MAX_UNAUTHENTICATED = 8;
 
-/** Counters whose changes can be awaited. */
+/** Metrics that let a test wait for a counter. */
 export class AwaitableMetrics extends CountingMetrics {
   readonly #events = new EventEmitter();
 
@@ -37,7 +37,7 @@
 export interface TestProcess {
   ctx: ProcessContext;
   metrics: AwaitableMetrics;
-  /** Each link that came up, latest last. */
+  /** Links that have come up, latest last. */
   links: Link[];
   events: EventEmitter;
   options: Omit<LinkOptions, 'handlers'>;
@@ -104,7 +104,7 @@
   return { ctx, metrics, links, events, options };
 }
 
-/** Waits until this many links have come up. */
+/** Waits until `count` links have come up; returns the last of these. */
 export async function waitForLinks({ links, events }: TestProcess, count: number): Promise<Link> {
   while (links.length < count) await once(events, 'up');
   return links[count - 1]!;
--- a/packages/link/src/link.ts
+++ b/packages/link/src/link.ts
@@ -1,4 +1,4 @@
-/** An authenticated link to one incarnation of a peer: typed calls both ways, heartbeats, silence. */
+/** An authenticated link to one incarnation of a peer: typed calls in both directions and heartbeats. */
 import {
   LinkError,
   METHODS,
@@ -25,17 +25,17 @@
 import type { FrameSocket, SendResult } from './frame-socket.js';
 import { TrafficMeter, type Traffic } from './traffic.js';
 
-/** A handler whose request was checked against its method's schema. */
+/** Any method's handler; its request has been validated against the method's schema. */
 type AnyHandler = (req: unknown, peer: Peer) => unknown;
 
-/** A live link. After its end all calls reject with `not-sent`. */
+/** One link. After its end all calls reject with `not-sent`. */
 export class Link implements Peer {
   readonly process: ProcessId;
 
-  /** Settles with the reason when the link is over. Never rejects. */
+  /** Resolves with the reason when the link has ended; never rejects. */
   readonly ended: Promise<CloseReason>;
 
-  /** The peer's last status, from its heartbeats. */
+  /** Latest status from the peer's heartbeats. */
   status: Record<string, unknown> = {};
 
   readonly #options: LinkOptions;
@@ -81,7 +81,7 @@
       sendHeartbeat: () => this.#sendHeartbeat(),
       onTick: () => this.#meter.report(options.heartbeat.everyMs),
       onSilence: (ms) =>
-        socket.end(new LinkCloseError('silence', `Nothing came for ${Math.round(ms)} ms.`)),
+        socket.end(new LinkCloseError('silence', `Received nothing for ${Math.round(ms)} ms.`)),
     });
     socket.setFrameHandler((frame) => this.#handleFrame(frame));
     this.#sendHeartbeat();
@@ -91,7 +91,7 @@
     return this.#socket.ended;
   }
 
-  /** Frames and bytes so far, each way. */
+  /** Frames and bytes so far, in each direction. */
   get traffic(): Traffic {
     return this.#socket.traffic;
   }
@@ -103,28 +103,28 @@
     { timeoutMs = this.#limits.callTimeoutMs }: { timeoutMs?: number } = {},
   ): Promise<MethodRes<M>> {
     if (this.closed) throw new LinkError('not-sent', 'The link is closed.');
-    const { id, answer } = this.#pending.register(timeoutMs);
+    const { id, response } = this.#pending.register(timeoutMs);
     const sent = this.#sendFrame({ t: method, id, body: req });
     if (sent !== 'sent') this.#pending.reject(id, unsentError(method, sent));
-    const body = await answer;
+    const body = await response;
     const parsedResponse = METHODS[method].res.safeParse(body);
     if (parsedResponse.success) return parsedResponse.data as MethodRes<M>;
     this.#options.ctx.metrics.count('link.answer.unreadable');
     throw new ProblemError(
       problem('internal', {
-        detail: `The answer to ${method} isn't as agreed: ${parsedResponse.error.message}`,
+        detail: `The response to ${method} doesn't match its schema: ${parsedResponse.error.message}`,
         remedy: 'Run the same version of zincspan at both ends.',
         ran: 'unknown',
       }),
     );
   }
 
-  /** Ends the link; calls in flight reject with `lost`. */
-  close(reason: CloseReason = 'closed', detail = 'The link was closed here.'): void {
+  /** Ends the link; outstanding calls reject with `lost`. */
+  close(reason: CloseReason = 'closed', detail = 'The link was closed by this process.'): void {
     this.#socket.end(new LinkCloseError(reason, detail));
   }
 
-  /** Told by the socket's owner, once. */
+  /** To be called once, by the owner of the socket, when the socket has ended. */
   handleEnd(closeError: LinkCloseError): void {
     this.#keepAlive.stop();
     this.#meter.finish();
@@ -150,7 +150,7 @@
 
   #handleFrame(raw: unknown): void {
     const parsed = frameSchema.safeParse(raw);
-    if (!parsed.success) throw new LinkCloseError('garbled', 'A frame is not as agreed.');
+    if (!parsed.success) throw new LinkCloseError('garbled', 'A frame does not match its schema.');
     const frame = parsed.data;
     this.#options.ctx.hybrid.merge(frame.hlc);
     if ('bundleVersion' in frame) this.#handleHeartbeat(frame);
@@ -173,16 +173,16 @@
 
   async #handleCall({ t, id, body }: Extract<Frame, { id: number }>): Promise<void> {
     this.#runningCalls += 1;
-    const answer = await this.#runHandler(t, body).catch((err: unknown) =>
+    const response = await this.#runHandler(t, body).catch((err: unknown) =>
       this.#toProblemResponse(t, err),
     );
     this.#runningCalls -= 1;
-    let sent = this.#sendFrame({ t, re: id, ...answer });
+    let sent = this.#sendFrame({ t, re: id, ...response });
     if (sent === 'too-long') {
-      sent = this.#sendFrame({ t, re: id, problem: tooLargeProblem('answer', t, 'unknown') });
+      sent = this.#sendFrame({ t, re: id, problem: tooLargeProblem('response', t, 'unknown') });
     }
-    // An answer that can't be written would leave its caller waiting: end the link, so that it settles.
-    if (sent === 'full') this.close('overflow', 'Answers fill the outgoing buffer.');
+    // The caller would wait for a response that can't be written: end the link, so that its call settles.
+    if (sent === 'full') this.close('overflow', 'The outgoing buffer has no room for a response.');
   }
 
   async #runHandler(method: string, body: unknown): Promise<{ body: unknown }> {
@@ -198,7 +198,7 @@
   #toProblemResponse(method: string, err: unknown): { problem: ProblemError['problem'] } {
     if (!(err instanceof ProblemError)) {
       this.#options.ctx.metrics.count('link.handler.failed');
-      this.#options.ctx.log.error({ method, err }, 'handler failed');
+      this.#options.ctx.log.error({ method, err }, 'method handler threw an exception');
     }
     return { problem: toProblem(err) };
   }
@@ -226,7 +226,7 @@
   return new ProblemError(
     problem('overloaded', {
       detail: `More than ${maxCallsInFlight} calls are in progress on this link.`,
-      remedy: 'Try again once some are answered.',
+      remedy: 'Try again when some of them have completed.',
       retryAfterMs: 100,
       facts: { bound: maxCallsInFlight },
     }),
@@ -237,7 +237,7 @@
   return new ProblemError(
     problem('not-found', {
       detail: `This process has no method ${method}.`,
-      remedy: 'Call a process of the right role and version.',
+      remedy: 'Call a process whose role and version have this method.',
     }),
   );
 }
@@ -245,7 +245,7 @@
 function invalidRequest(method: string, detail: string): ProblemError {
   return new ProblemError(
     problem('bad-input', {
-      detail: `The call of ${method} isn't as agreed: ${detail}`,
+      detail: `The request of ${method} doesn't match its schema: ${detail}`,
       remedy: 'Run the same version of zincspan at both ends.',
     }),
   );
--- a/packages/link/src/links.feature
+++ b/packages/link/src/links.feature
@@ -4,32 +4,32 @@
     Given a link between two processes
     Then a call on the link answers "hello"
 
-  Scenario: answers out of order reach their own callers
+  Scenario: responses out of order reach the calls they belong to
     Given a link between two processes
     Then 50 calls on the link, answered in any order, each get their own answer
 
-  Scenario: a refusal travels back as its problem
+  Scenario: a problem reported by a handler reaches the caller
     Given a link between two processes
-    Then a call on the link that is refused rejects with "draining"
+    Then a call on the link whose handler reports a problem rejects with "draining"
 
-  Scenario: a call that isn't as agreed is refused
+  Scenario: a request that doesn't match its schema is refused
     Given a link between two processes
-    Then a garbled call on the link rejects with "bad-input"
+    Then a call on the link with an invalid request rejects with "bad-input"
 
-  Scenario: an answer that is too long is told so
+  Scenario: a response that is too long is reported to the caller
     Given a link between two processes
-    Then a call on the link that answers too much rejects with "too-large"
+    Then a call on the link with a response over the frame limit rejects with "too-large"
     And a call on the link answers "hello"
 
-  Scenario: a call without an answer in time is lost
+  Scenario: a call without a response within its timeout is lost
     Given a link between two processes
     Then a call on the link that is never answered rejects with "lost"
 
-  Scenario: calls in flight are bounded
+  Scenario: the number of calls in flight is limited
     Given a link between two processes
     Then one call more than the link allows rejects with "overloaded"
 
-  Scenario: calls in flight are lost with their link and the dialer comes back
+  Scenario: calls in flight are lost with their link and the dialer redials
     Given a link between two processes
     When the link's connection is cut with a call in flight
     Then the call in flight rejects with "lost"
@@ -37,61 +37,61 @@
     And a call on the link answers "hello"
     And the old link's calls reject with "not-sent"
 
-  Scenario: a half-open link is found by its silence
+  Scenario: a half-open connection is detected by its silence
     Given a link between two processes
-    When the link's connection swallows everything with a call in flight
+    When the link's connection drops all traffic both ways with a call in flight
     Then the call in flight rejects with "lost"
     And both ends of the link count "link.closed.silence"
     And the link comes back on a new connection
 
-  Scenario: a link that swallows one way only is found too
+  Scenario: a connection that fails in one direction only is detected too
     Given a link between two processes
-    When the link's connection swallows what goes to the server
+    When the link's connection drops the traffic to the server
     Then the link comes back on a new connection
 
   Scenario: heartbeats carry the bundle version
     Given a link between two processes
-    Then the link tells both ends the other's bundle version
+    Then both ends of the link receive the other's bundle version
 
   Scenario: an older key is still accepted
     Given a link whose dialer has a newer key that the server lacks
     Then a call on the link answers "hello"
 
-  Scenario: a dialer without a key of ours is turned away
-    Given a link server that a dialer without its key dials
+  Scenario: a dialer without the server's key is refused
+    Given a link server dialled by a process without its key
     Then the link server counts "link.closed.not-authentic"
 
-  Scenario: a server without a key of ours gets no calls
-    Given a link dialer that reaches an impostor
+  Scenario: a server without the dialer's key gets no calls
+    Given a link dialer that reaches a server without its key
     Then the link dialer counts "link.closed.not-authentic"
 
-  Scenario: a process with another name is refused
-    Given a link dialer that expects another process
+  Scenario: a server with another process id is refused
+    Given a link dialer that expects a process with another id
     Then the link dialer counts "link.closed.wrong-peer"
 
-  Scenario: a newer incarnation takes over and the older can't come back
+  Scenario: a newer incarnation replaces the older one, which can't reconnect
     Given a link between two processes
     When a newer incarnation of the dialer dials the link server
     Then the older incarnation's link is closed as "superseded"
     And the link server counts "link.closed.stale-incarnation"
     And the link server has 1 links
 
-  Scenario: an unproved newcomer replaces nobody
+  Scenario: an unauthenticated dialer replaces no link
     Given a link between two processes
-    When a dialer of the same name without the key dials the link server
+    When a dialer with the same id but without the key dials the link server
     Then the link server counts "link.closed.not-authentic"
     And a call on the link answers "hello"
 
-  Scenario: connections in their handshake are bounded
+  Scenario: the number of unauthenticated connections is limited
     Given a link between two processes
-    When 9 strangers connect to the link server and say nothing
+    When 9 clients connect to the link server and send nothing
     Then the link server counts "link.closed.too-many"
     And the link server counts "link.closed.handshake-timeout"
     And a call on the link answers "hello"
 
-  Scenario Outline: a bad frame closes its link and nothing else
+  Scenario Outline: a bad message closes only its own link
     Given a link between two processes
-    When a proved peer sends the link server a frame that is <bad>
+    When an authenticated peer sends the link server a message that is <bad>
     Then the link server counts "link.closed.<reason>"
     And a call on the link answers "hello"
 
@@ -106,8 +106,8 @@
     Given a link between two processes
     When 20 calls on the link are answered and the dialer closes it
     Then both ends of the link counted the same frames and bytes to the server
-    And the link server's metrics hold what its link counted
+    And the link server's metrics equal the counts of its link
 
-  Scenario: what crosses a link reaches the metrics while it lives
+  Scenario: traffic of an open link reaches the metrics
     Given a link between two processes
     Then both ends of the link count "link.bytes.out" with their heartbeats
--- a/packages/link/src/links.steps.ts
+++ b/packages/link/src/links.steps.ts
@@ -27,13 +27,15 @@
 import { FrameSocket } from './frame-socket.js';
 import { totalLinkTraffic } from './traffic.js';
 
-/** `job` names what the answer is to be; bodies that shuffle answer in any order. */
+/** For `timeline.read`, `job` selects the outcome; calls with job `shuffle` complete out of order. */
 const handlers: Handlers = {
   'process.status': () => ({ status: { say: 'hello' } }),
   'timeline.read': async ({ job, limit }): Promise<MethodRes<'timeline.read'>> => {
     if (job === 'never') await new Promise(() => {});
     if (job === 'refuse') {
-      throw new ProblemError(problem('draining', { detail: 'Leaving.', remedy: 'Go elsewhere.' }));
+      throw new ProblemError(
+        problem('draining', { detail: 'Draining.', remedy: 'Call another process.' }),
+      );
     }
     for (let turns = limit % 7; turns > 0; turns -= 1) {
       await new Promise((resolve) => {
@@ -88,21 +90,21 @@
   },
 );
 
-Given('a link server that a dialer without its key dials', async function (this: LinkWorld) {
+Given('a link server dialled by a process without its key', async function (this: LinkWorld) {
   await startServer(this, handlers);
   dial(this, makeTestProcess('guard-1', 'incarnation-a'), { keys: [OTHER_LINK_KEY] });
 });
 
-Given('a link dialer that reaches an impostor', async function (this: LinkWorld) {
+Given('a link dialer that reaches a server without its key', async function (this: LinkWorld) {
   await startServer(this, handlers);
   const testProcess = makeTestProcess('guard-1', 'incarnation-a');
   this.dialerProcess = testProcess;
-  // It takes any proof, but can't make one.
+  // The fake server accepts any proof, but can't compute a valid MAC itself.
   const { WebSocketServer } = await import('ws');
-  const impostor = new WebSocketServer({ port: 0, host: '127.0.0.1' });
-  closeAfterScenario(() => impostor.close());
-  await once(impostor, 'listening');
-  impostor.on('connection', (socket) => {
+  const fakeServer = new WebSocketServer({ port: 0, host: '127.0.0.1' });
+  closeAfterScenario(() => fakeServer.close());
+  await once(fakeServer, 'listening');
+  fakeServer.on('connection', (socket) => {
     const nonce = new Uint8Array(32);
     socket.send(encodeFrame({ t: 'link.challenge', nonce }));
     const process: ProcessId = this.serverProcess.ctx.self;
@@ -110,11 +112,11 @@
       socket.send(encodeFrame({ t: 'link.welcome', process, key: 0, mac: nonce }));
     });
   });
-  const { port } = impostor.address() as { port: number };
+  const { port } = fakeServer.address() as { port: number };
   dial(this, testProcess, { address: `127.0.0.1:${port}` });
 });
 
-Given('a link dialer that expects another process', async function (this: LinkWorld) {
+Given('a link dialer that expects a process with another id', async function (this: LinkWorld) {
   await startServer(this, handlers);
   this.dialerProcess = makeTestProcess('guard-1', 'incarnation-a');
   dial(this, this.dialerProcess, { expectId: 'entry-2' });
@@ -125,12 +127,15 @@
   this.proxy.cutOpen();
 });
 
-When("the link's connection swallows everything with a call in flight", function (this: LinkWorld) {
-  this.proxy.silenceOpen('both');
-  this.inFlight = failureKind(callTimelineRead(this, 'never'));
-});
+When(
+  "the link's connection drops all traffic both ways with a call in flight",
+  function (this: LinkWorld) {
+    this.proxy.silenceOpen('both');
+    this.inFlight = failureKind(callTimelineRead(this, 'never'));
+  },
+);
 
-When("the link's connection swallows what goes to the server", function (this: LinkWorld) {
+When("the link's connection drops the traffic to the server", function (this: LinkWorld) {
   this.proxy.silenceOpen('to-server');
 });
 
@@ -140,12 +145,15 @@
   await waitForLinks(testProcess, 1);
 });
 
-When('a dialer of the same name without the key dials the link server', function (this: LinkWorld) {
-  dial(this, makeTestProcess('guard-1', 'incarnation-b', OTHER_LINK_KEY, 6));
-});
+When(
+  'a dialer with the same id but without the key dials the link server',
+  function (this: LinkWorld) {
+    dial(this, makeTestProcess('guard-1', 'incarnation-b', OTHER_LINK_KEY, 6));
+  },
+);
 
 When(
-  '{int} strangers connect to the link server and say nothing',
+  '{int} clients connect to the link server and send nothing',
   async function (this: LinkWorld, count: number) {
     const [host, port] = this.proxy.address.split(':');
     const sockets = Array.from({ length: count }, () => connect(Number(port), host));
@@ -188,7 +196,7 @@
 };
 
 When(
-  /^a proved peer sends the link server a frame that is (\w+)$/,
+  /^an authenticated peer sends the link server a message that is (\w+)$/,
   async function (this: LinkWorld, bad: string) {
     await sendRawMessage(this, BAD_MESSAGES[bad]!);
   },
@@ -214,21 +222,21 @@
 );
 
 Then(
-  'a call on the link that is refused rejects with {string}',
+  'a call on the link whose handler reports a problem rejects with {string}',
   async function (this: LinkWorld, kind: string) {
     assert.equal(await failureKind(callTimelineRead(this, 'refuse')), kind);
   },
 );
 
 Then(
-  'a garbled call on the link rejects with {string}',
+  'a call on the link with an invalid request rejects with {string}',
   async function (this: LinkWorld, kind: string) {
     assert.equal(await failureKind(callTimelineRead(this, 'x', -1)), kind);
   },
 );
 
 Then(
-  'a call on the link that answers too much rejects with {string}',
+  'a call on the link with a response over the frame limit rejects with {string}',
   async function (this: LinkWorld, kind: string) {
     assert.equal(await failureKind(this.dialer.link!.call('bundle.fetch', { have: 0 })), kind);
   },
@@ -268,14 +276,14 @@
 });
 
 Then('both ends of the link count {string}', async function (this: LinkWorld, name: string) {
-  // A dialer that is back first supersedes the silent link at the server.
+  // If the dialer reconnects before the server notices the silence, its new link supersedes the old one there.
   const silent = this.dialerProcess.metrics.waitForCounter(name);
   const [atServer] = this.serverProcess.links;
   await Promise.all([silent, atServer!.ended]);
   assert.ok(['silence', 'superseded'].includes(await atServer!.ended));
 });
 
-Then("the link tells both ends the other's bundle version", async function (this: LinkWorld) {
+Then("both ends of the link receive the other's bundle version", async function (this: LinkWorld) {
   const versions = await Promise.all([
     once(this.serverProcess.events, 'version'),
     once(this.dialerProcess.events, 'version'),
@@ -327,7 +335,7 @@
   },
 );
 
-Then("the link server's metrics hold what its link counted", function (this: LinkWorld) {
+Then("the link server's metrics equal the counts of its link", function (this: LinkWorld) {
   const { ctx, metrics, links } = this.serverProcess;
   const { traffic } = links[0]!;
   assert.deepEqual(totalLinkTraffic(ctx), traffic);
--- a/packages/link/src/listen.ts
+++ b/packages/link/src/listen.ts
@@ -1,16 +1,16 @@
-/** Listening on an address of the settings, with an error that says which and what to do. */
+/** Listens on an address from the settings; errors name the address and the remedy. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { ProblemError, problem } from '@zincspan/core';
 import { parseAddress } from './address.js';
 
 const LISTEN_ERROR_REASONS: Record<string, string> = {
-  EADDRINUSE: 'another process listens there',
-  EADDRNOTAVAIL: 'this VM has no such IP number',
-  EACCES: 'this process may not use that port',
+  EADDRINUSE: 'another process is listening on it',
+  EADDRNOTAVAIL: 'this VM has no such IP address',
+  EACCES: 'this process lacks permission for that port',
 };
 
-/** Starts to listen on `IP:port`; answers the address with the port in use. Throws ProblemError `bad-input`. */
+/** Listens on `IP:port`; returns the address with the bound port. Throws ProblemError `bad-input`. */
 export async function listenOn(server: Server, address: string): Promise<string> {
   const { host, port } = parseAddress(address);
   await new Promise<void>((resolve, reject) => {
@@ -25,13 +25,13 @@
   return `${host.includes(':') ? `[${host}]` : host}:${boundPort}`;
 }
 
-/** Why an address of the settings can't be listened on. */
+/** Explains why listening on an address from the settings failed. */
 export function listenProblem(address: string, err: NodeJS.ErrnoException): ProblemError {
   const reason = LISTEN_ERROR_REASONS[err.code ?? ''] ?? err.message;
   return new ProblemError(
     problem('bad-input', {
-      detail: `${address} can't be listened on: ${reason}.`,
-      remedy: 'Correct the address in the settings, or end the process that holds it.',
+      detail: `Can't listen on ${address}: ${reason}.`,
+      remedy: 'Correct the address in the settings, or stop the process that uses it.',
     }),
   );
 }
--- a/packages/link/src/pending-calls.ts
+++ b/packages/link/src/pending-calls.ts
@@ -1,4 +1,4 @@
-/** Calls that wait for their answers, matched by number whatever order these come in. */
+/** Outstanding calls; responses are matched by call id and may arrive in any order. */
 import { LinkError, ProblemError, problem } from '@zincspan/core';
 
 interface PendingCall {
@@ -7,7 +7,7 @@
   timer: NodeJS.Timeout;
 }
 
-/** A bounded set of open calls, each with a timeout. */
+/** A bounded set of outstanding calls, each with a timeout. */
 export class PendingCalls {
   readonly #bound: number;
 
@@ -23,27 +23,27 @@
     return this.#calls.size;
   }
 
-  /** Opens a call. Throws ProblemError `overloaded` at the bound. */
-  register(timeoutMs: number): { id: number; answer: Promise<unknown> } {
+  /** Registers a call. Throws ProblemError `overloaded` when the bound is reached. */
+  register(timeoutMs: number): { id: number; response: Promise<unknown> } {
     if (this.#calls.size >= this.#bound) throw overloaded(this.#bound);
     this.#lastId += 1;
     const id = this.#lastId;
-    const answer = new Promise<unknown>((resolve, reject) => {
+    const response = new Promise<unknown>((resolve, reject) => {
       const timer = setTimeout(
-        () => this.reject(id, new LinkError('lost', `No answer within ${timeoutMs} ms.`)),
+        () => this.reject(id, new LinkError('lost', `No response within ${timeoutMs} ms.`)),
         timeoutMs,
       );
       this.#calls.set(id, { resolve, reject, timer });
     });
-    return { id, answer };
+    return { id, response };
   }
 
-  /** False if nobody waits for it any more. */
+  /** Returns false if the call is no longer outstanding. */
   resolve(id: number, body: unknown): boolean {
     return this.#settle(id, (call) => call.resolve(body));
   }
 
-  /** False if nobody waits for it any more. */
+  /** Returns false if the call is no longer outstanding. */
   reject(id: number, err: Error): boolean {
     return this.#settle(id, (call) => call.reject(err));
   }
@@ -65,8 +65,8 @@
 function overloaded(bound: number): ProblemError {
   return new ProblemError(
     problem('overloaded', {
-      detail: `${bound} calls wait for answers on this link.`,
-      remedy: 'Try again once some are answered.',
+      detail: `${bound} calls on this link are waiting for a response.`,
+      remedy: 'Try again when some of them have completed.',
       retryAfterMs: 100,
       facts: { bound },
     }),
--- a/packages/link/src/traffic.ts
+++ b/packages/link/src/traffic.ts
@@ -1,4 +1,7 @@
-/** Frames and bytes over the links of one process, counted as plain numbers and reported once a heartbeat. */
+/**
+ * Counts frames and bytes over the links of one process. Plain numbers are summed up and added to the metrics once per
+ * heartbeat interval.
+ */
 import type { ProcessContext } from '@zincspan/core';
 
 /** Totals of one link, or of all links of a process. */
@@ -29,7 +32,7 @@
   };
 }
 
-/** All links of a process together: an entry with a thousand of them still reports once a heartbeat. */
+/** Totals over all links of a process: an entry with a thousand links still reports once per heartbeat interval. */
 export class TrafficTotals {
   static readonly #byProcess = new WeakMap<ProcessContext, TrafficTotals>();
 
@@ -47,7 +50,7 @@
     this.#ctx = ctx;
   }
 
-  /** The totals of this process. */
+  /** Returns the totals of this process, created on first use. */
   static forProcess(ctx: ProcessContext): TrafficTotals {
     const known = TrafficTotals.#byProcess.get(ctx);
     if (known !== undefined) return known;
@@ -56,7 +59,7 @@
     return created;
   }
 
-  /** Live links and those that ended. */
+  /** Sum over open and closed links. */
   get total(): Traffic {
     return [...this.#meters].reduce((total, { traffic }) => sum(total, traffic), this.#endedLinks);
   }
@@ -69,7 +72,7 @@
     if (this.#meters.delete(meter)) this.#endedLinks = sum(this.#endedLinks, meter.traffic);
   }
 
-  /** Adds what came since the last report to the metrics, if that was `everyMs` ago or more. */
+  /** Adds the traffic since the last report to the metrics, unless that report is less than `everyMs` ago. */
   report(everyMs = 0): void {
     const now = this.#ctx.clock.now();
     if (now - this.#lastReportedAt < everyMs) return;
@@ -85,7 +88,7 @@
   }
 }
 
-/** One link's part in its process's totals. */
+/** Feeds one link's traffic into the totals of its process. */
 export class TrafficMeter {
   readonly #totals: TrafficTotals;
 
@@ -101,19 +104,19 @@
     return this.#read();
   }
 
-  /** Has the process's totals reported, unless that was done within the last `everyMs`. */
+  /** Reports the totals of the process, unless that was done within the last `everyMs`. */
   report(everyMs: number): void {
     this.#totals.report(everyMs);
   }
 
-  /** The link is over: what it counted stays in the totals. */
+  /** To be called when the link has ended; its traffic stays in the totals. */
   finish(): void {
     this.#totals.removeMeter(this);
     this.#totals.report();
   }
 }
 
-/** Totals over all links of a process, live and ended, as of now. */
+/** Current totals over all links of a process, open and closed. */
 export function totalLinkTraffic(ctx: ProcessContext): Traffic {
   return TrafficTotals.forProcess(ctx).total;
 }
