--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -89,5 +89,5 @@
 ): T {
   const parsed = schema.safeParse(frame);
   if (parsed.success) return parsed.data;
-  throw new LinkCloseError('garbled', 'A handshake frame does not match its schema.');
+  throw new LinkCloseError('garbled', 'The handshake frame is malformed.');
 }
--- a/packages/link/src/link.ts
+++ b/packages/link/src/link.ts
@@ -149,9 +149,9 @@
   }
 
   #handleFrame(raw: unknown): void {
-    const parsed = frameSchema.safeParse(raw);
-    if (!parsed.success) throw new LinkCloseError('garbled', 'A frame does not match its schema.');
-    const frame = parsed.data;
+    const parsedFrame = frameSchema.safeParse(raw);
+    if (!parsedFrame.success) throw new LinkCloseError('garbled', 'The frame is malformed.');
+    const frame = parsedFrame.data;
     this.#options.ctx.hybrid.merge(frame.hlc);
     if ('bundleVersion' in frame) this.#handleHeartbeat(frame);
     else if ('re' in frame) this.#handleResponse(frame);
@@ -190,9 +190,9 @@
     if (!isMethod(method)) throw unknownMethod(method);
     const handler = this.#options.handlers[method] as AnyHandler | undefined;
     if (!handler) throw unknownMethod(method);
-    const parsed = METHODS[method].req.safeParse(body);
-    if (!parsed.success) throw invalidRequest(method, parsed.error.message);
-    return { body: await handler(parsed.data, this) };
+    const parsedRequest = METHODS[method].req.safeParse(body);
+    if (!parsedRequest.success) throw invalidRequest(method, parsedRequest.error.message);
+    return { body: await handler(parsedRequest.data, this) };
   }
 
   #toProblemResponse(method: string, err: unknown): { problem: ProblemError['problem'] } {
