--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -1,9 +1,9 @@
-/** Links between zincspan's processes: typed calls over WebSockets, with heartbeats and redial. */
+/** Links between zincspan processes: typed calls over WebSockets, with heartbeats and automatic redial. */
 export * from './address.js';
 export * from './listen.js';
 export * from './dialer.js';
 export * from './link.js';
 export * from './link-server.js';
-export * from './options.js';
+export * from './link-options.js';
 export { MAX_FRAME_BYTES } from './frame.js';
 export * from './traffic.js';
--- a/packages/link/src/traffic.ts
+++ b/packages/link/src/traffic.ts
@@ -1,4 +1,7 @@
-/** Frames and bytes over the links of one process, counted as plain numbers and reported once a heartbeat. */
+/**
+ * Counts frames and bytes over the links of one process. Plain numbers are summed up and added to the metrics once per
+ * heartbeat interval.
+ */
 import type { ProcessContext } from '@zincspan/core';
 
 /** Totals of one link, or of all links of a process. */
@@ -9,7 +12,7 @@
   bytesOut: number;
 }
 
-const NONE: Traffic = { framesIn: 0, framesOut: 0, bytesIn: 0, bytesOut: 0 };
+const NO_TRAFFIC: Traffic = { framesIn: 0, framesOut: 0, bytesIn: 0, bytesOut: 0 };
 
 function sum(a: Traffic, b: Traffic): Traffic {
   return {
@@ -29,7 +32,7 @@
   };
 }
 
-/** All links of a process together: an entry with a thousand of them still reports once a heartbeat. */
+/** Totals over all links of a process: an entry with a thousand links still reports once per heartbeat interval. */
 export class TrafficTotals {
   static readonly #byProcess = new WeakMap<ProcessContext, TrafficTotals>();
 
@@ -37,18 +40,18 @@
 
   readonly #meters = new Set<TrafficMeter>();
 
-  #ended = NONE;
+  #endedLinks = NO_TRAFFIC;
 
-  #reported = NONE;
+  #lastReported = NO_TRAFFIC;
 
-  #reportedAt = -Infinity;
+  #lastReportedAt = -Infinity;
 
   private constructor(ctx: ProcessContext) {
     this.#ctx = ctx;
   }
 
-  /** The totals of this process. */
-  static of(ctx: ProcessContext): TrafficTotals {
+  /** Returns the totals of this process, created on first use. */
+  static forProcess(ctx: ProcessContext): TrafficTotals {
     const known = TrafficTotals.#byProcess.get(ctx);
     if (known !== undefined) return known;
     const created = new TrafficTotals(ctx);
@@ -56,27 +59,27 @@
     return created;
   }
 
-  /** Live links and those that ended. */
+  /** Sum over open and closed links. */
   get total(): Traffic {
-    return [...this.#meters].reduce((total, { traffic }) => sum(total, traffic), this.#ended);
+    return [...this.#meters].reduce((total, { traffic }) => sum(total, traffic), this.#endedLinks);
   }
 
-  open(meter: TrafficMeter): void {
+  addMeter(meter: TrafficMeter): void {
     this.#meters.add(meter);
   }
 
-  end(meter: TrafficMeter): void {
-    if (this.#meters.delete(meter)) this.#ended = sum(this.#ended, meter.traffic);
+  removeMeter(meter: TrafficMeter): void {
+    if (this.#meters.delete(meter)) this.#endedLinks = sum(this.#endedLinks, meter.traffic);
   }
 
-  /** Adds what came since the last report to the metrics, if that was `everyMs` ago or more. */
+  /** Adds the traffic since the last report to the metrics, unless that report is less than `everyMs` ago. */
   report(everyMs = 0): void {
     const now = this.#ctx.clock.now();
-    if (now - this.#reportedAt < everyMs) return;
+    if (now - this.#lastReportedAt < everyMs) return;
     const { total } = this;
-    const { framesIn, framesOut, bytesIn, bytesOut } = difference(total, this.#reported);
-    this.#reported = total;
-    this.#reportedAt = now;
+    const { framesIn, framesOut, bytesIn, bytesOut } = difference(total, this.#lastReported);
+    this.#lastReported = total;
+    this.#lastReportedAt = now;
     const { metrics } = this.#ctx;
     metrics.count('link.frames.in', framesIn);
     metrics.count('link.frames.out', framesOut);
@@ -85,35 +88,35 @@
   }
 }
 
-/** One link's part in its process's totals. */
+/** Feeds one link's traffic into the totals of its process. */
 export class TrafficMeter {
   readonly #totals: TrafficTotals;
 
   readonly #read: () => Traffic;
 
   constructor({ ctx, read }: { ctx: ProcessContext; read: () => Traffic }) {
-    this.#totals = TrafficTotals.of(ctx);
+    this.#totals = TrafficTotals.forProcess(ctx);
     this.#read = read;
-    this.#totals.open(this);
+    this.#totals.addMeter(this);
   }
 
   get traffic(): Traffic {
     return this.#read();
   }
 
-  /** Has the process's totals reported, unless that was done within the last `everyMs`. */
+  /** Reports the totals of the process, unless that was done within the last `everyMs`. */
   report(everyMs: number): void {
     this.#totals.report(everyMs);
   }
 
-  /** The link is over: what it counted stays in the totals. */
-  end(): void {
-    this.#totals.end(this);
+  /** To be called when the link has ended; its traffic stays in the totals. */
+  finish(): void {
+    this.#totals.removeMeter(this);
     this.#totals.report();
   }
 }
 
-/** Totals over all links of a process, live and ended, as of now. */
-export function linkTraffic(ctx: ProcessContext): Traffic {
-  return TrafficTotals.of(ctx).total;
+/** Current totals over all links of a process, open and closed. */
+export function totalLinkTraffic(ctx: ProcessContext): Traffic {
+  return TrafficTotals.forProcess(ctx).total;
 }
