--- a/packages/entry/src/operator/operator.steps.ts
+++ b/packages/entry/src/operator/operator.steps.ts
@@ -115,11 +115,11 @@
   async function (this: OperatorWorld, fault: string) {
     this.bundle = bundleWith('tuul');
     const { faults } = this.entry.table;
-    if (fault === 'loses the answer') faults.loseAnswers = 1;
-    if (fault === 'loses the write') faults.loseWrites = 1;
-    faults.down = fault === 'is down';
+    if (fault === 'loses the answer') faults.responsesToLose = 1;
+    if (fault === 'loses the write') faults.writesToLose = 1;
+    faults.unavailable = fault === 'is down';
     this.answer = await rollOut(this.entry, this.bundle, 1);
-    faults.down = false;
+    faults.unavailable = false;
   },
 );
 
--- a/packages/entry/src/owner/owner.steps.ts
+++ b/packages/entry/src/owner/owner.steps.ts
@@ -85,15 +85,15 @@
 });
 
 When('the owner loses the answer to its next write', function (this: OwnerSteps) {
-  this.entryOf('entry-a').table.faults.loseAnswers = 1;
+  this.entryOf('entry-a').table.faults.responsesToLose = 1;
 });
 
 When('the table goes down for the owner', function (this: OwnerSteps) {
-  this.entryOf('entry-a').table.faults.down = true;
+  this.entryOf('entry-a').table.faults.unavailable = true;
 });
 
 When('the table comes back for the owner', function (this: OwnerSteps) {
-  this.entryOf('entry-a').table.faults.down = false;
+  this.entryOf('entry-a').table.faults.unavailable = false;
 });
 
 When('the worker {string} has prepared', async function (this: OwnerSteps, worker: string) {
--- a/packages/entry/src/owner/recovery.steps.ts
+++ b/packages/entry/src/owner/recovery.steps.ts
@@ -16,7 +16,7 @@
   async function (this: OwnerSteps, count: string, lost: string | null) {
     await setUpOwner(this, '', { start: false });
     for (let i = 1; i < Number(count); i += 1) this.addEntry(`entry-${i}`);
-    if (lost !== null) this.entryOf('entry-a').table.faults.loseAnswers = 1;
+    if (lost !== null) this.entryOf('entry-a').table.faults.responsesToLose = 1;
     await Promise.all([...this.ownerEntries.values()].map((entry) => entry.app.start?.()));
   },
 );
@@ -56,7 +56,7 @@
   'the owner is paused until the second entry owns the failure domain',
   async function (this: OwnerSteps) {
     const { app, table } = this.entryOf('entry-a');
-    table.faults.down = true;
+    table.faults.unavailable = true;
     // Paused, it doesn't hear of its successor either.
     Object.assign(app.handlers ?? {}, { 'owner.changed': () => ({}) });
     await this.timers.until('entry-b owns', () => this.entryOf('entry-b').owns);
--- a/packages/entry/src/request/keyed.steps.ts
+++ b/packages/entry/src/request/keyed.steps.ts
@@ -117,11 +117,11 @@
 );
 
 Given('the key table is down', function (this: KeyedWorld) {
-  this.here.table.faults.down = true;
+  this.here.table.faults.unavailable = true;
 });
 
 Given('the key table loses the answer of a write', function (this: KeyedWorld) {
-  this.here.table.faults.loseAnswers = 1;
+  this.here.table.faults.responsesToLose = 1;
 });
 
 Given('the key table never answers', function (this: KeyedWorld) {
--- a/packages/platform/src/http/backoff.ts
+++ b/packages/platform/src/http/backoff.ts
@@ -13,7 +13,7 @@
 }
 
 /** Resolves after `ms`. */
-export async function pause(ms: number): Promise<void> {
+export async function sleep(ms: number): Promise<void> {
   await new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
--- a/packages/platform/src/http/circuit-breaker.steps.ts
+++ b/packages/platform/src/http/circuit-breaker.steps.ts
@@ -6,23 +6,28 @@
 interface BreakerWorld {
   clock: ManualClock;
   breaker: CircuitBreaker;
-  said: string[];
+  stateChanges: string[];
 }
 
 Given(
   'a circuit breaker that opens after {int} failures for {int} ms',
   function (this: BreakerWorld, failuresToOpen: number, openMs: number) {
     this.clock = new ManualClock();
-    this.said = [];
-    const onChange = (state: string) => this.said.push(state);
-    this.breaker = new CircuitBreaker({ clock: this.clock, failuresToOpen, openMs, onChange });
+    this.stateChanges = [];
+    const onChange = (state: string) => this.stateChanges.push(state);
+    this.breaker = new CircuitBreaker({
+      clock: this.clock,
+      failureThreshold: failuresToOpen,
+      openMs,
+      onChange,
+    });
   },
 );
 
 When('the circuit breaker sees {string}', function (this: BreakerWorld, outcomes: string) {
   outcomes.split(',').forEach((outcome) => {
-    if (outcome === 'fail') this.breaker.failed();
-    else this.breaker.succeeded();
+    if (outcome === 'fail') this.breaker.recordFailure();
+    else this.breaker.recordSuccess();
   });
 });
 
@@ -31,13 +36,13 @@
 });
 
 Then('the circuit breaker keeps calls away', function (this: BreakerWorld) {
-  assert.ok(this.breaker.enter() > 0);
+  assert.ok(this.breaker.admit() > 0);
 });
 
 Then('the circuit breaker lets a call through', function (this: BreakerWorld) {
-  assert.equal(this.breaker.enter(), 0);
+  assert.equal(this.breaker.admit(), 0);
 });
 
 Then('the circuit breaker has said {string}', function (this: BreakerWorld, states: string) {
-  assert.equal(this.said.join(','), states);
+  assert.equal(this.stateChanges.join(','), states);
 });
--- a/packages/platform/src/http/circuit-breaker.ts
+++ b/packages/platform/src/http/circuit-breaker.ts
@@ -5,7 +5,7 @@
 export interface CircuitBreakerOptions {
   clock: Clock;
   /** Failures in a row that open it. */
-  failuresToOpen: number;
+  failureThreshold: number;
   /** How long it stays open before it lets an attempt through. */
   openMs: number;
   /** Told of each change of state. */
@@ -24,38 +24,38 @@
     this.#options = options;
   }
 
-  get open(): boolean {
-    return this.#failures >= this.#options.failuresToOpen;
+  get isOpen(): boolean {
+    return this.#failures >= this.#options.failureThreshold;
   }
 
   /** How long to stay away, in ms; 0 if an attempt may be made now. */
   get waitMs(): number {
-    return this.open ? Math.max(0, this.#openUntil - this.#options.clock.now()) : 0;
+    return this.isOpen ? Math.max(0, this.#openUntil - this.#options.clock.now()) : 0;
   }
 
   /** Takes leave for an attempt; answers as `waitMs`. */
-  enter(): number {
+  admit(): number {
     const { waitMs } = this;
     // This caller probes; others stay away until its outcome is known or another openMs has passed.
-    if (waitMs === 0 && this.open) this.#stayOpen();
+    if (waitMs === 0 && this.isOpen) this.#startOpenPeriod();
     return waitMs;
   }
 
-  succeeded(): void {
-    const wasOpen = this.open;
+  recordSuccess(): void {
+    const wasOpen = this.isOpen;
     this.#failures = 0;
     if (wasOpen) this.#options.onChange?.('closed');
   }
 
-  failed(): void {
-    const wasOpen = this.open;
+  recordFailure(): void {
+    const wasOpen = this.isOpen;
     this.#failures += 1;
-    if (!this.open) return;
-    this.#stayOpen();
+    if (!this.isOpen) return;
+    this.#startOpenPeriod();
     if (!wasOpen) this.#options.onChange?.('open');
   }
 
-  #stayOpen(): void {
+  #startOpenPeriod(): void {
     this.#openUntil = this.#options.clock.now() + this.#options.openMs;
   }
 }
--- a/packages/platform/src/http/watch-sent.ts
+++ b/packages/platform/src/http/connection-tracker.ts
@@ -2,16 +2,16 @@
 import type { ClientRequest } from 'node:http';
 
 /** Notes whether the request ever had a connection to travel on. */
-export function watchSent(req: ClientRequest): { connected: boolean } {
-  const sent = { connected: false };
+export function trackConnection(req: ClientRequest): { connected: boolean } {
+  const connection = { connected: false };
   req.once('socket', (socket) => {
     if (!socket.connecting) {
-      sent.connected = true;
+      connection.connected = true;
       return;
     }
     socket.once('connect', () => {
-      sent.connected = true;
+      connection.connected = true;
     });
   });
-  return sent;
+  return connection;
 }
--- a/packages/platform/src/http/http-object-store.ts
+++ b/packages/platform/src/http/http-object-store.ts
@@ -1,10 +1,10 @@
 /** Client of the platform's object store. */
 import { ProblemError, type ObjectStore } from '@zincspan/core';
-import { unexpectedAnswer } from './answers.js';
-import type { HttpCall } from './http-attempt.js';
-import { StoreCaller, type Answer } from './store-caller.js';
+import { unexpectedResponse } from './response-parsing.js';
+import type { HttpRequest } from './http-connection-pool.js';
+import { StoreHttpClient, type StoreResponse } from './store-http-client.js';
 import type { StoreOptions } from './store-options.js';
-import { storeUnavailable } from './store-problem.js';
+import { storeUnavailable } from './store-unavailable.js';
 
 const OK = 200;
 const NO_CONTENT = 204;
@@ -12,40 +12,40 @@
 
 /** Objects over HTTP. Objects are immutable, so a put whose answer was lost is simply repeated. */
 export class HttpObjectStore implements ObjectStore {
-  readonly #caller: StoreCaller;
+  readonly #client: StoreHttpClient;
 
   constructor(options: StoreOptions) {
-    this.#caller = new StoreCaller(options);
+    this.#client = new StoreHttpClient(options);
   }
 
   async get(key: string): Promise<Uint8Array | undefined> {
-    const answer = await this.#call({ method: 'GET', path: objectPath(key) });
-    if (answer.status === NOT_FOUND) return undefined;
-    if (answer.status !== OK) throw unexpectedAnswer(answer.status, 'not-run');
-    return answer.body;
+    const response = await this.#send({ method: 'GET', path: objectPath(key) });
+    if (response.status === NOT_FOUND) return undefined;
+    if (response.status !== OK) throw unexpectedResponse(response.status, 'not-run');
+    return response.body;
   }
 
   async put(key: string, body: Uint8Array): Promise<void> {
     const payload = Buffer.from(body.buffer, body.byteOffset, body.byteLength);
-    const answer = await this.#call({ method: 'PUT', path: objectPath(key), payload });
-    if (answer.status !== NO_CONTENT) throw unexpectedAnswer(answer.status, 'unknown');
+    const response = await this.#send({ method: 'PUT', path: objectPath(key), payload });
+    if (response.status !== NO_CONTENT) throw unexpectedResponse(response.status, 'unknown');
   }
 
   /** Closes idle connections. */
   close(): void {
-    this.#caller.close();
+    this.#client.close();
   }
 
-  async #call(call: HttpCall): Promise<Answer> {
-    return this.#caller.inTurn(0, async (time) => {
-      const answer = await this.#caller.repeat(call, time);
-      if (answer.outcome === 'answered') return answer;
-      const maybeActed = answer.maybeActed && call.method === 'PUT';
+  async #send(request: HttpRequest): Promise<StoreResponse> {
+    return this.#client.withSlot(0, async (budget) => {
+      const result = await this.#client.sendWithRetries(request, budget);
+      if (result.outcome === 'answered') return result;
+      const mayHaveTakenEffect = result.mayHaveTakenEffect && request.method === 'PUT';
       throw new ProblemError(
         storeUnavailable({
-          detail: `The object store didn't answer in time: ${answer.detail}`,
-          ran: maybeActed ? 'unknown' : 'not-run',
-          retryAfterMs: this.#caller.retryAfterMs,
+          detail: `The object store didn't answer in time: ${result.detail}`,
+          ran: mayHaveTakenEffect ? 'unknown' : 'not-run',
+          retryAfterMs: this.#client.retryAfterMs,
         }),
       );
     });
--- a/packages/platform/src/http/http-table.steps.ts
+++ b/packages/platform/src/http/http-table.steps.ts
@@ -6,7 +6,7 @@
 import type { StoreOptions } from './store-options.js';
 
 interface TableWorld {
-  scripted?: ScriptedStore;
+  store?: ScriptedStore;
   storeAddress: string;
   tables?: HttpTable[];
   written: WriteResult | Problem;
@@ -31,12 +31,12 @@
 
 After({ tags: '@table-client' }, function (this: TableWorld) {
   this.tables?.forEach((table) => table.close());
-  this.scripted?.close();
+  this.store?.close();
 });
 
 Given('a table client of a scripted store', async function (this: TableWorld) {
-  this.scripted = new ScriptedStore();
-  this.storeAddress = await this.scripted.start();
+  this.store = new ScriptedStore();
+  this.storeAddress = await this.store.start();
   this.tables = [];
   newTable(this);
 });
@@ -44,7 +44,7 @@
 Given(
   'a table client with room for {int} calls and {int} waiting',
   function (this: TableWorld, concurrency: number, waiting: number) {
-    newTable(this, { concurrency, waiting, totalMs: 400 });
+    newTable(this, { concurrency, maxQueued: waiting, totalMs: 400 });
   },
 );
 
@@ -55,33 +55,33 @@
 Given(
   'a table client that leaves a store alone after {int} failures',
   function (this: TableWorld, failuresToOpen: number) {
-    newTable(this, { failuresToOpen, openMs: 600_000 });
+    newTable(this, { failureThreshold: failuresToOpen, openMs: 600_000 });
   },
 );
 
 Given(
   'a table client with room for {int} calls that leaves a store alone after {int} failures',
   function (this: TableWorld, concurrency: number, failuresToOpen: number) {
-    newTable(this, { concurrency, failuresToOpen, totalMs: 1500 });
+    newTable(this, { concurrency, failureThreshold: failuresToOpen, totalMs: 1500 });
   },
 );
 
 Given(
   /^the scripted store meets (writes|reads) with "(.*)"$/,
   function (this: TableWorld, sort: 'writes' | 'reads', faults: string) {
-    this.scripted![sort] = faults.split(',') as ScriptAction[];
+    this.store![sort] = faults.split(',') as ScriptAction[];
   },
 );
 
 Given(
   'the scripted store meets settling with {string}',
   function (this: TableWorld, fault: ScriptAction) {
-    this.scripted!.settling = fault;
+    this.store!.statusQuery = fault;
   },
 );
 
 Given('the scripted store is gone', function (this: TableWorld) {
-  this.scripted!.close();
+  this.store!.close();
 });
 
 When('the table client writes a row', async function (this: TableWorld) {
@@ -111,7 +111,7 @@
 });
 
 When("the scripted store's held writes arrive", function (this: TableWorld) {
-  this.scripted!.release();
+  this.store!.applyHeldWrites();
 });
 
 Then("the table client's write ends as {string}", function (this: TableWorld, end: string) {
@@ -127,12 +127,12 @@
 Then(
   'the scripted store has the row at version {int}',
   function (this: TableWorld, version: number) {
-    assert.equal(this.scripted!.rows.get(KEY).version, version);
+    assert.equal(this.store!.rows.get(KEY).version, version);
   },
 );
 
 Then('every attempt of the table client bore the same write id', function (this: TableWorld) {
-  assert.equal(new Set(this.scripted!.writeIds).size, 1);
+  assert.equal(new Set(this.store!.writeIds).size, 1);
 });
 
 Then('the table client tells when to come back', function (this: TableWorld) {
@@ -140,7 +140,7 @@
 });
 
 Then('the scripted store got {int} calls', function (this: TableWorld, calls: number) {
-  assert.equal(this.scripted!.calls, calls);
+  assert.equal(this.store!.requestCount, calls);
 });
 
 Then(
--- a/packages/platform/src/http/http-table.ts
+++ b/packages/platform/src/http/http-table.ts
@@ -11,12 +11,12 @@
   type WriteResult,
 } from '@zincspan/core';
 import { MAX_SCAN_ROWS } from '../table/row-store.js';
-import { checkWrites } from '../table/check-writes.js';
-import { parseAnswer, unexpectedAnswer } from './answers.js';
-import type { HttpCall } from './http-attempt.js';
-import { StoreCaller, type Answer, type CallTime } from './store-caller.js';
+import { validateWrites } from '../table/validate-writes.js';
+import { parseResponse, unexpectedResponse } from './response-parsing.js';
+import type { HttpRequest } from './http-connection-pool.js';
+import { StoreHttpClient, type StoreResponse, type TimeBudget } from './store-http-client.js';
 import { withDefaults, type StoreOptions } from './store-options.js';
-import { storeUnavailable } from './store-problem.js';
+import { storeUnavailable } from './store-unavailable.js';
 
 const OK = 200;
 const NOT_FOUND = 404;
@@ -24,22 +24,22 @@
 
 /** Table over HTTP. Reads and writes wait for their turns apart, so that neither starves the other. */
 export class HttpTable implements Table {
-  readonly #reads: StoreCaller;
+  readonly #readClient: StoreHttpClient;
 
-  readonly #writes: StoreCaller;
+  readonly #writeClient: StoreHttpClient;
 
-  readonly #settleMs: number;
+  readonly #resolveReserveMs: number;
 
   constructor(options: StoreOptions) {
     const { timeoutMs, totalMs } = withDefaults(options);
-    this.#reads = new StoreCaller(options);
-    this.#writes = new StoreCaller(options);
-    this.#settleMs = Math.min(timeoutMs, totalMs / 3);
+    this.#readClient = new StoreHttpClient(options);
+    this.#writeClient = new StoreHttpClient(options);
+    this.#resolveReserveMs = Math.min(timeoutMs, totalMs / 3);
   }
 
   async get(key: string): Promise<Row> {
-    const answer = await this.#read(`/v1/rows/${encodeURIComponent(key)}`);
-    return parseAnswer(rowSchema, answer, 'not-run');
+    const response = await this.#read(`/v1/rows/${encodeURIComponent(key)}`);
+    return parseResponse(rowSchema, response, 'not-run');
   }
 
   async scan(
@@ -49,72 +49,76 @@
     const query = new URLSearchParams({ prefix });
     if (after !== undefined) query.set('after', after);
     if (limit !== undefined) query.set('limit', String(Math.min(limit, MAX_SCAN_ROWS)));
-    const answer = await this.#read(`/v1/rows?${query.toString()}`);
-    return parseAnswer(rowListSchema, answer, 'not-run').rows;
+    const response = await this.#read(`/v1/rows?${query.toString()}`);
+    return parseResponse(rowListSchema, response, 'not-run').rows;
   }
 
   async write(writes: RowWrite[]): Promise<WriteResult> {
-    checkWrites(writes);
+    validateWrites(writes);
     const writeId = randomUUID();
-    const call: HttpCall = {
+    const request: HttpRequest = {
       method: 'POST',
       path: '/v1/transactions',
       payload: { writeId, writes },
     };
-    return this.#writes.inTurn(this.#settleMs, async (time) => {
-      const answer = await this.#writes.repeat(call, time);
-      if (answer.outcome === 'answered') return readWritten(answer);
-      if (answer.maybeActed) return this.#settle(writeId, time, answer.detail);
-      throw this.#unavailable(this.#writes, answer.detail, 'not-run');
+    return this.#writeClient.withSlot(this.#resolveReserveMs, async (budget) => {
+      const result = await this.#writeClient.sendWithRetries(request, budget);
+      if (result.outcome === 'answered') return parseWriteResult(result);
+      if (result.mayHaveTakenEffect) return this.#resolveOutcome(writeId, budget, result.detail);
+      throw this.#unavailable(this.#writeClient, result.detail, 'not-run');
     });
   }
 
   /** Closes idle connections. */
   close(): void {
-    this.#reads.close();
-    this.#writes.close();
+    this.#readClient.close();
+    this.#writeClient.close();
   }
 
-  async #read(path: string): Promise<Answer> {
-    return this.#reads.inTurn(0, async (time) => {
-      const answer = await this.#reads.repeat({ method: 'GET', path }, time);
-      if (answer.outcome === 'unanswered') {
-        throw this.#unavailable(this.#reads, answer.detail, 'not-run');
+  async #read(path: string): Promise<StoreResponse> {
+    return this.#readClient.withSlot(0, async (budget) => {
+      const result = await this.#readClient.sendWithRetries({ method: 'GET', path }, budget);
+      if (result.outcome === 'unanswered') {
+        throw this.#unavailable(this.#readClient, result.detail, 'not-run');
       }
-      if (answer.status === OK) return answer;
-      throw unexpectedAnswer(answer.status, 'not-run');
+      if (result.status === OK) return result;
+      throw unexpectedResponse(result.status, 'not-run');
     });
   }
 
   /** Learns what became of a write whose answer was lost; if it hasn't arrived, it never will. */
-  async #settle(writeId: string, { deadline }: CallTime, detail: string): Promise<WriteResult> {
+  async #resolveOutcome(
+    writeId: string,
+    { deadline }: TimeBudget,
+    detail: string,
+  ): Promise<WriteResult> {
     const path = `/v1/transactions/${encodeURIComponent(writeId)}`;
-    const answer = await this.#writes.insist({ method: 'GET', path }, deadline);
-    if (answer?.status === OK) return readWritten(answer);
-    const barred = answer?.status === NOT_FOUND;
-    throw this.#unavailable(this.#writes, detail, barred ? 'not-run' : 'unknown');
+    const response = await this.#writeClient.sendUntilDeadline({ method: 'GET', path }, deadline);
+    if (response?.status === OK) return parseWriteResult(response);
+    const cancelled = response?.status === NOT_FOUND;
+    throw this.#unavailable(this.#writeClient, detail, cancelled ? 'not-run' : 'unknown');
   }
 
-  #unavailable(caller: StoreCaller, detail: string, ran: 'not-run' | 'unknown'): ProblemError {
+  #unavailable(client: StoreHttpClient, detail: string, ran: 'not-run' | 'unknown'): ProblemError {
     return new ProblemError(
       storeUnavailable({
         detail: `The table didn't answer in time: ${detail}`,
         ran,
-        retryAfterMs: caller.retryAfterMs,
+        retryAfterMs: client.retryAfterMs,
       }),
     );
   }
 }
 
 /** Reads the answer to a write; any but the two that the interface allows is a refusal. */
-function readWritten(answer: Answer): WriteResult {
-  if (answer.status === OK) {
-    const { versions } = parseAnswer(versionListSchema, answer, 'unknown');
+function parseWriteResult(response: StoreResponse): WriteResult {
+  if (response.status === OK) {
+    const { versions } = parseResponse(versionListSchema, response, 'unknown');
     return { outcome: 'written', versions };
   }
-  if (answer.status === CONFLICT) {
-    const { rows } = parseAnswer(rowListSchema, answer, 'not-run');
+  if (response.status === CONFLICT) {
+    const { rows } = parseResponse(rowListSchema, response, 'not-run');
     return { outcome: 'conflict', rows };
   }
-  throw unexpectedAnswer(answer.status, 'not-run');
+  throw unexpectedResponse(response.status, 'not-run');
 }
--- a/packages/platform/src/http/answers.ts
+++ b/packages/platform/src/http/response-parsing.ts
@@ -1,21 +1,21 @@
 /** Reading the platform's answers, each checked against its schema. */
 import { ProblemError, problem, type Ran } from '@zincspan/core';
 import type { z } from 'zod';
-import type { Answer } from './store-caller.js';
+import type { StoreResponse } from './store-http-client.js';
 
 /** The body of an answer as its schema describes it. Throws ProblemError `internal` if it doesn't fit. */
-export function parseAnswer<T extends z.ZodType>(
+export function parseResponse<T extends z.ZodType>(
   schema: T,
-  { status, body }: Answer,
+  { status, body }: StoreResponse,
   ran: Ran,
 ): z.infer<T> {
   const parsed = schema.safeParse(parseJson(body));
   if (parsed.success) return parsed.data;
-  throw unexpectedAnswer(status, ran);
+  throw unexpectedResponse(status, ran);
 }
 
 /** For an answer that the interface doesn't allow. */
-export function unexpectedAnswer(status: number, ran: Ran): ProblemError {
+export function unexpectedResponse(status: number, ran: Ran): ProblemError {
   return new ProblemError(
     problem('internal', {
       detail: `The store's answer with status ${status} wasn't understood.`,
--- a/packages/platform/src/http/scripted-store.support.ts
+++ b/packages/platform/src/http/scripted-store.support.ts
@@ -22,15 +22,15 @@
   writes: ScriptAction[] = [];
 
   /** Action for each question about a write id. */
-  settling: ScriptAction = 'serve';
+  statusQuery: ScriptAction = 'serve';
 
   /** Action for the reads to come. */
   reads: ScriptAction[] = [];
 
   /** Calls that arrived. */
-  calls = 0;
+  requestCount = 0;
 
-  readonly #held: Transaction[] = [];
+  readonly #heldWrites: Transaction[] = [];
 
   readonly #server: Server;
 
@@ -48,8 +48,8 @@
   }
 
   /** Lets the held writes arrive. */
-  release(): void {
-    this.#held.splice(0).forEach(({ writeId, writes }) => this.rows.write(writeId, writes));
+  applyHeldWrites(): void {
+    this.#heldWrites.splice(0).forEach(({ writeId, writes }) => this.rows.write(writeId, writes));
   }
 
   close(): void {
@@ -58,28 +58,28 @@
   }
 
   async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    this.calls += 1;
+    this.requestCount += 1;
     const path = (req.url ?? '').split('/');
     if (req.method === 'POST') {
       const body = await Wreck.read<unknown>(req, { json: 'force' });
       return this.#write(transactionSchema.parse(body), res);
     }
     if (path[2] === 'transactions') {
-      return act(this.settling, res, () => {
-        const settled = this.rows.settle(path[3]!);
+      return respond(this.statusQuery, res, () => {
+        const settled = this.rows.resolveOutcome(path[3]!);
         return settled.outcome === 'written' ? [200, { versions: settled.versions }] : [404, {}];
       });
     }
     const key = decodeURIComponent(path[3]!);
-    return act(this.reads.shift() ?? 'serve', res, () => [200, this.rows.get(key)]);
+    return respond(this.reads.shift() ?? 'serve', res, () => [200, this.rows.get(key)]);
   }
 
   #write(transaction: Transaction, res: ServerResponse): void {
     const { writeId, writes } = transaction;
     this.writeIds.push(writeId);
     const action = this.writes.shift() ?? 'serve';
-    if (action === 'hold') this.#held.push(transaction);
-    act(action, res, () => {
+    if (action === 'hold') this.#heldWrites.push(transaction);
+    respond(action, res, () => {
       const result = this.rows.write(writeId, writes);
       if (result.outcome === 'written') return [200, { versions: result.versions }];
       return [409, { rows: result.outcome === 'conflict' ? result.rows : [] }];
@@ -87,7 +87,7 @@
   }
 }
 
-function act(action: ScriptAction, res: ServerResponse, effect: () => [number, object]): void {
+function respond(action: ScriptAction, res: ServerResponse, effect: () => [number, object]): void {
   if (action === 'hold') return;
   if (action === 'cut') {
     res.destroy();
--- a/packages/platform/src/http/store-options.ts
+++ b/packages/platform/src/http/store-options.ts
@@ -10,15 +10,15 @@
   /** Bound on a whole call: waiting, attempts, pauses and settling. */
   totalMs?: number;
   /** Attempts of one call. */
-  attempts?: number;
+  maxAttempts?: number;
   /** Longest pause before the second attempt; it doubles with each further one, up to `maxBackoffMs`. */
   backoffMs?: number;
   maxBackoffMs?: number;
   /** Calls at once; further ones wait, up to `waiting` of them, and the rest are refused. */
   concurrency?: number;
-  waiting?: number;
+  maxQueued?: number;
   /** Failed attempts in a row that open the circuit breaker, and how long it stays open. */
-  failuresToOpen?: number;
+  failureThreshold?: number;
   openMs?: number;
   /** Must keep step with the host's timers. */
   clock?: Clock;
@@ -39,23 +39,23 @@
   return {
     timeoutMs,
     totalMs: 3 * timeoutMs,
-    attempts: 3,
+    maxAttempts: 3,
     backoffMs: 50,
     maxBackoffMs: 1000,
     concurrency: 32,
-    waiting: 512,
-    failuresToOpen: 8,
+    maxQueued: 512,
+    failureThreshold: 8,
     openMs: 1000,
     clock: new SystemClock(),
     random: Math.random,
     metrics: NO_METRICS,
     log: NO_LOG,
-    ...given(options),
+    ...withoutUndefined(options),
   };
 }
 
 /** The options without those that were passed as undefined. */
-function given(options: StoreOptions): StoreOptions {
+function withoutUndefined(options: StoreOptions): StoreOptions {
   const entries = Object.entries(options).filter(([, value]) => value !== undefined);
   return Object.fromEntries(entries) as unknown as StoreOptions;
 }
--- a/packages/platform/src/http/every-fault.steps.ts
+++ b/packages/platform/src/http/write-fault-combinations.steps.ts
@@ -8,7 +8,7 @@
 interface Trial {
   faults: string;
   end: string;
-  there: boolean;
+  rowExists: boolean;
 }
 
 interface TrialsWorld {
@@ -16,22 +16,22 @@
 }
 
 /** Writers at once. */
-const WRITERS = 48;
+const CONCURRENT_TRIALS = 48;
 
-async function runTrial(writes: ScriptAction[], settling: ScriptAction): Promise<Trial> {
-  const faults = `${writes.join()} settling ${settling}`;
+async function runTrial(writes: ScriptAction[], statusQuery: ScriptAction): Promise<Trial> {
+  const faults = `${writes.join()} status query ${statusQuery}`;
   const store = new ScriptedStore();
-  Object.assign(store, { writes, settling });
+  Object.assign(store, { writes, statusQuery });
   const address = await store.start();
   const table = new HttpTable({ address, timeoutMs: 40, totalMs: 200, random: () => 0 });
   const end = await table.write([{ key: 'a', ifVersion: 0, value: 1 }]).then(
     ({ outcome }) => outcome,
     (err: unknown) => toProblem(err).ran,
   );
-  store.release();
+  store.applyHeldWrites();
   table.close();
   store.close();
-  return { faults, end, there: store.rows.get('a').version > 0 };
+  return { faults, end, rowExists: store.rows.get('a').version > 0 };
 }
 
 /** All ways to pick `length` actions in a row. */
@@ -44,26 +44,26 @@
   'the table client writes under every three faults in a row and every fault of settling',
   { timeout: 60_000 },
   async function (this: TrialsWorld) {
-    const scripts = SCRIPT_ACTIONS.flatMap((settling) =>
-      sequences(3).map((writes) => ({ writes, settling })),
+    const scripts = SCRIPT_ACTIONS.flatMap((statusQuery) =>
+      sequences(3).map((writes) => ({ writes, statusQuery })),
     );
     this.trials = [];
     const writer = async () => {
       for (let next = scripts.pop(); next !== undefined; next = scripts.pop()) {
-        this.trials.push(await runTrial(next.writes, next.settling));
+        this.trials.push(await runTrial(next.writes, next.statusQuery));
       }
     };
-    await Promise.all(Array.from({ length: WRITERS }, writer));
+    await Promise.all(Array.from({ length: CONCURRENT_TRIALS }, writer));
   },
 );
 
 Then('every write that ended as written is there', function (this: TrialsWorld) {
-  const untrue = this.trials.filter(({ end, there }) => end === 'written' && !there);
+  const untrue = this.trials.filter(({ end, rowExists: there }) => end === 'written' && !there);
   assert.deepEqual(untrue, []);
 });
 
 Then('no write that ended as not-run is there, or arrives later', function (this: TrialsWorld) {
-  const untrue = this.trials.filter(({ end, there }) => end === 'not-run' && there);
+  const untrue = this.trials.filter(({ end, rowExists: there }) => end === 'not-run' && there);
   assert.deepEqual(untrue, []);
 });
 
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -6,4 +6,4 @@
 export * from './http/store-options.js';
 export * from './http/http-table.js';
 export * from './http/http-object-store.js';
-export * from './http/watch-sent.js';
+export * from './http/connection-tracker.js';
--- a/packages/platform/src/memory/memory-object-store.ts
+++ b/packages/platform/src/memory/memory-object-store.ts
@@ -13,7 +13,7 @@
   }
 
   async get(key: string): Promise<Uint8Array | undefined> {
-    await this.faults.pass();
+    await this.faults.beforeCall();
     return this.#objects.get(key)?.slice();
   }
 
--- a/packages/platform/src/memory/memory-table.ts
+++ b/packages/platform/src/memory/memory-table.ts
@@ -9,7 +9,7 @@
   type WriteResult,
 } from '@zincspan/core';
 import { MemoryFaults } from './memory-faults.js';
-import { checkWrites } from '../table/check-writes.js';
+import { validateWrites } from '../table/validate-writes.js';
 import { RowStore } from '../table/row-store.js';
 
 /** Table in memory with switchable faults. Several tables may share one store, as clients of one service. */
@@ -23,17 +23,17 @@
   }
 
   async get(key: string): Promise<Row> {
-    await this.faults.pass();
+    await this.faults.beforeCall();
     return this.store.get(key);
   }
 
   async scan(prefix: string, options: { after?: string; limit?: number } = {}): Promise<Row[]> {
-    await this.faults.pass();
+    await this.faults.beforeCall();
     return this.store.scan(prefix, options);
   }
 
   async write(writes: RowWrite[]): Promise<WriteResult> {
-    checkWrites(writes);
+    validateWrites(writes);
     const result = await this.faults.write(() => this.store.write(randomUUID(), writes));
     if (result.outcome !== 'barred') return result;
     throw new ProblemError(
--- a/packages/platform/src/table/row-store.steps.ts
+++ b/packages/platform/src/table/row-store.steps.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { Given, Then, When } from '@cucumber/cucumber';
 import type { RowWrite } from '@zincspan/core';
-import { RowStore, type SettledWrite } from './row-store.js';
+import { RowStore, type WriteOutcome } from './row-store.js';
 
 interface RowStoreWorld {
   rows: RowStore;
-  answer: SettledWrite;
+  outcome: WriteOutcome;
 }
 
 /** Reads `key@ifVersion=value` parts. */
@@ -23,16 +23,16 @@
 When(
   'the row store is written {string} with {string}',
   function (this: RowStoreWorld, writeId: string, writes: string) {
-    this.answer = this.rows.write(writeId, parseWrites(writes));
+    this.outcome = this.rows.write(writeId, parseWrites(writes));
   },
 );
 
 When('the row store is asked about {string}', function (this: RowStoreWorld, writeId: string) {
-  this.answer = this.rows.settle(writeId);
+  this.outcome = this.rows.resolveOutcome(writeId);
 });
 
 Then('the row store answers {string}', function (this: RowStoreWorld, outcome: string) {
-  assert.equal(this.answer.outcome, outcome);
+  assert.equal(this.outcome.outcome, outcome);
 });
 
 Then('the row store holds {string}', function (this: RowStoreWorld, keys: string) {
--- a/packages/platform/src/table/row-store.ts
+++ b/packages/platform/src/table/row-store.ts
@@ -2,10 +2,10 @@
 import type { Row, RowWrite, WriteResult } from '@zincspan/core';
 
 /** What a write id stands for once it is settled. `barred`: asked about before it arrived. */
-export type SettledWrite = WriteResult | { outcome: 'barred' };
+export type WriteOutcome = WriteResult | { outcome: 'barred' };
 
 /** Settled write ids that are remembered; at 300 writes a second this is over ten minutes. */
-const REMEMBERED_WRITES = 200_000;
+const MAX_REMEMBERED_WRITES = 200_000;
 
 /** Most rows of one scan. */
 export const MAX_SCAN_ROWS = 1000;
@@ -21,12 +21,12 @@
   readonly #rows = new Map<string, StoredRow>();
 
   /** Keys of all rows, in order. */
-  readonly #keys: string[] = [];
+  readonly #sortedKeys: string[] = [];
 
-  readonly #settled = new Map<string, SettledWrite>();
+  readonly #outcomes = new Map<string, WriteOutcome>();
 
   /** No row that is made again may repeat a version that a deleted one had. */
-  #deletedVersion = 0;
+  #highestDeletedVersion = 0;
 
   get size(): number {
     return this.#rows.size;
@@ -45,10 +45,14 @@
     { after = '', limit = MAX_SCAN_ROWS }: { after?: string; limit?: number } = {},
   ): Row[] {
     const rows: Row[] = [];
-    let at = this.#position(after < prefix ? prefix : after);
-    if (this.#keys[at] === after) at += 1;
-    for (; at < this.#keys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS); at++) {
-      const key = this.#keys[at]!;
+    let index = this.#lowerBound(after < prefix ? prefix : after);
+    if (this.#sortedKeys[index] === after) index += 1;
+    for (
+      ;
+      index < this.#sortedKeys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS);
+      index++
+    ) {
+      const key = this.#sortedKeys[index]!;
       if (!key.startsWith(prefix)) break;
       rows.push(this.get(key));
     }
@@ -56,63 +60,63 @@
   }
 
   /** Makes all changes or none; the same write id always gets the same answer. */
-  write(writeId: string, writes: RowWrite[]): SettledWrite {
-    const earlier = this.#settled.get(writeId);
-    if (earlier !== undefined) return earlier;
+  write(writeId: string, writes: RowWrite[]): WriteOutcome {
+    const known = this.#outcomes.get(writeId);
+    if (known !== undefined) return known;
     const result = this.#apply(writes);
     this.#remember(writeId, result);
     return result;
   }
 
   /** What became of a write; one that hasn't arrived is barred, so that it never takes effect. */
-  settle(writeId: string): SettledWrite {
-    const earlier = this.#settled.get(writeId);
-    if (earlier !== undefined) return earlier;
-    const barred: SettledWrite = { outcome: 'barred' };
-    this.#remember(writeId, barred);
-    return barred;
+  resolveOutcome(writeId: string): WriteOutcome {
+    const known = this.#outcomes.get(writeId);
+    if (known !== undefined) return known;
+    const cancelled: WriteOutcome = { outcome: 'barred' };
+    this.#remember(writeId, cancelled);
+    return cancelled;
   }
 
   #apply(writes: RowWrite[]): WriteResult {
     const rows = writes.map(({ key }) => this.get(key));
     const stale = writes.some(({ ifVersion }, i) => rows[i]!.version !== ifVersion);
     if (stale) return { outcome: 'conflict', rows };
-    return { outcome: 'written', versions: writes.map((write) => this.#change(write)) };
+    return { outcome: 'written', versions: writes.map((write) => this.#applyWrite(write)) };
   }
 
   /** Makes one change; answers the row's new version, 0 once deleted. */
-  #change({ key, value }: RowWrite): number {
+  #applyWrite({ key, value }: RowWrite): number {
     const stored = this.#rows.get(key);
     if (value === null || value === undefined) {
       if (stored !== undefined) this.#delete(key, stored);
       return 0;
     }
-    const version = (stored?.version ?? this.#deletedVersion) + 1;
-    if (stored === undefined) this.#keys.splice(this.#position(key), 0, key);
+    const version = (stored?.version ?? this.#highestDeletedVersion) + 1;
+    if (stored === undefined) this.#sortedKeys.splice(this.#lowerBound(key), 0, key);
     this.#rows.set(key, { version, json: JSON.stringify(value) });
     return version;
   }
 
   #delete(key: string, stored: StoredRow): void {
-    this.#deletedVersion = Math.max(this.#deletedVersion, stored.version);
+    this.#highestDeletedVersion = Math.max(this.#highestDeletedVersion, stored.version);
     this.#rows.delete(key);
-    this.#keys.splice(this.#position(key), 1);
+    this.#sortedKeys.splice(this.#lowerBound(key), 1);
   }
 
-  #remember(writeId: string, result: SettledWrite): void {
-    this.#settled.set(writeId, result);
-    if (this.#settled.size <= REMEMBERED_WRITES) return;
-    const oldest = this.#settled.keys().next().value;
-    if (oldest !== undefined) this.#settled.delete(oldest);
+  #remember(writeId: string, result: WriteOutcome): void {
+    this.#outcomes.set(writeId, result);
+    if (this.#outcomes.size <= MAX_REMEMBERED_WRITES) return;
+    const oldest = this.#outcomes.keys().next().value;
+    if (oldest !== undefined) this.#outcomes.delete(oldest);
   }
 
   /** Index of the first key that isn't before `key`. */
-  #position(key: string): number {
+  #lowerBound(key: string): number {
     let low = 0;
-    let high = this.#keys.length;
+    let high = this.#sortedKeys.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if (this.#keys[middle]! < key) low = middle + 1;
+      if (this.#sortedKeys[middle]! < key) low = middle + 1;
       else high = middle;
     }
     return low;
--- a/packages/platform/src/table/check-writes.ts
+++ b/packages/platform/src/table/validate-writes.ts
@@ -4,14 +4,14 @@
 const writesSchema = transactionSchema.shape.writes;
 
 /** Throws ProblemError `bad-input` for too many writes, a bad key, or two writes of one row. */
-export function checkWrites(writes: RowWrite[]): void {
+export function validateWrites(writes: RowWrite[]): void {
   const parsed = writesSchema.safeParse(writes);
-  if (!parsed.success) throw badWrites(parsed.error.issues[0]?.message ?? 'Malformed writes.');
+  if (!parsed.success) throw invalidWrites(parsed.error.issues[0]?.message ?? 'Malformed writes.');
   const keys = new Set(writes.map(({ key }) => key));
-  if (keys.size < writes.length) throw badWrites('A row is written twice.');
+  if (keys.size < writes.length) throw invalidWrites('A row is written twice.');
 }
 
-function badWrites(detail: string): ProblemError {
+function invalidWrites(detail: string): ProblemError {
   return new ProblemError(
     problem('bad-input', {
       detail: `The transaction was not sent: ${detail}`,
--- a/packages/stand-ins/src/platform/platform-service.ts
+++ b/packages/stand-ins/src/platform/platform-service.ts
@@ -1,7 +1,7 @@
 /** The platform stand-in's routes over rows and objects in memory. */
 import type { Lifecycle, ResponseToolkit, Server } from '@hapi/hapi';
 import { transactionSchema } from '@zincspan/core';
-import { MAX_SCAN_ROWS, RowStore, type SettledWrite } from '@zincspan/platform';
+import { MAX_SCAN_ROWS, RowStore, type WriteOutcome } from '@zincspan/platform';
 import * as z from 'zod';
 import { delay } from '../server/delay.js';
 import { MAX_BODY_BYTES, pathParam, type Handler } from '../server/http-server.js';
@@ -81,7 +81,7 @@
   };
 
   readonly #settle: Handler = (req, h) => {
-    const settled = this.rows.settle(pathParam(req, 'writeId'));
+    const settled = this.rows.resolveOutcome(pathParam(req, 'writeId'));
     if (settled.outcome === 'written') return { versions: settled.versions };
     return h.response({ error: 'It never will take effect.' }).code(404);
   };
@@ -137,7 +137,7 @@
   }
 }
 
-function answerWrite(h: ResponseToolkit, result: SettledWrite): Lifecycle.ReturnValue {
+function answerWrite(h: ResponseToolkit, result: WriteOutcome): Lifecycle.ReturnValue {
   if (result.outcome === 'written') return { versions: result.versions };
   if (result.outcome === 'conflict') return h.response({ rows: result.rows }).code(409);
   return h.response({ error: 'This write id was asked about before it arrived.' }).code(410);
