--- a/packages/cli/src/cli.support.ts
+++ b/packages/cli/src/cli.support.ts
@@ -86,7 +86,7 @@
 
   /** Takes the table down or up again. */
   tableDown(down: boolean): void {
-    this.#table.faults.unavailable = down;
+    this.#table.faults.down = down;
   }
 
   async stop(): Promise<void> {
--- a/packages/entry/src/operator/operator.steps.ts
+++ b/packages/entry/src/operator/operator.steps.ts
@@ -117,9 +117,9 @@
     const { faults } = this.entry.table;
     if (fault === 'loses the answer') faults.responsesToLose = 1;
     if (fault === 'loses the write') faults.writesToLose = 1;
-    faults.unavailable = fault === 'is down';
+    faults.down = fault === 'is down';
     this.answer = await rollOut(this.entry, this.bundle, 1);
-    faults.unavailable = false;
+    faults.down = false;
   },
 );
 
--- a/packages/entry/src/owner/lost-contact.steps.ts
+++ b/packages/entry/src/owner/lost-contact.steps.ts
@@ -59,7 +59,7 @@
 When(
   'the owner loses the table until the second entry owns the failure domain',
   async function (this: LostContactWorld) {
-    this.entryOf('entry-a').table.faults.unavailable = true;
+    this.entryOf('entry-a').table.faults.down = true;
     await this.timers.until('entry-b owns', () => this.entryOf('entry-b').owns);
   },
 );
--- a/packages/entry/src/owner/owner.steps.ts
+++ b/packages/entry/src/owner/owner.steps.ts
@@ -89,11 +89,11 @@
 });
 
 When('the table goes down for the owner', function (this: OwnerSteps) {
-  this.entryOf('entry-a').table.faults.unavailable = true;
+  this.entryOf('entry-a').table.faults.down = true;
 });
 
 When('the table comes back for the owner', function (this: OwnerSteps) {
-  this.entryOf('entry-a').table.faults.unavailable = false;
+  this.entryOf('entry-a').table.faults.down = false;
 });
 
 When('the worker {string} has prepared', async function (this: OwnerSteps, worker: string) {
--- a/packages/entry/src/owner/recovery.steps.ts
+++ b/packages/entry/src/owner/recovery.steps.ts
@@ -56,7 +56,7 @@
   'the owner is paused until the second entry owns the failure domain',
   async function (this: OwnerSteps) {
     const { app, table } = this.entryOf('entry-a');
-    table.faults.unavailable = true;
+    table.faults.down = true;
     // Paused, it doesn't hear of its successor either.
     Object.assign(app.handlers ?? {}, { 'owner.changed': () => ({}) });
     await this.timers.until('entry-b owns', () => this.entryOf('entry-b').owns);
--- a/packages/entry/src/request/keyed.steps.ts
+++ b/packages/entry/src/request/keyed.steps.ts
@@ -117,7 +117,7 @@
 );
 
 Given('the key table is down', function (this: KeyedWorld) {
-  this.here.table.faults.unavailable = true;
+  this.here.table.faults.down = true;
 });
 
 Given('the key table loses the answer of a write', function (this: KeyedWorld) {
--- a/packages/platform/src/http/backoff.ts
+++ b/packages/platform/src/http/backoff.ts
@@ -1,6 +1,6 @@
-/** Pauses between attempts, with full jitter so that clients don't return in step. */
+/** Delays between attempts, with full jitter so that clients don't retry in lockstep. */
 
-/** Pause in ms before attempt `attempt` (the second is 1): uniform from 0 to the doubled bound. */
+/** Delay in ms before retry `attempt` (the first is 1): uniform from 0 to a bound that doubles with each retry. */
 export function fullJitterMs(
   attempt: number,
   {
--- a/packages/platform/src/http/circuit-breaker.steps.ts
+++ b/packages/platform/src/http/circuit-breaker.steps.ts
@@ -11,20 +11,20 @@
 
 Given(
   'a circuit breaker that opens after {int} failures for {int} ms',
-  function (this: BreakerWorld, failuresToOpen: number, openMs: number) {
+  function (this: BreakerWorld, failureThreshold: number, openMs: number) {
     this.clock = new ManualClock();
     this.stateChanges = [];
     const onChange = (state: string) => this.stateChanges.push(state);
     this.breaker = new CircuitBreaker({
       clock: this.clock,
-      failureThreshold: failuresToOpen,
+      failureThreshold,
       openMs,
       onChange,
     });
   },
 );
 
-When('the circuit breaker sees {string}', function (this: BreakerWorld, outcomes: string) {
+When('the circuit breaker records {string}', function (this: BreakerWorld, outcomes: string) {
   outcomes.split(',').forEach((outcome) => {
     if (outcome === 'fail') this.breaker.recordFailure();
     else this.breaker.recordSuccess();
@@ -35,14 +35,14 @@
   this.clock.advance(ms);
 });
 
-Then('the circuit breaker keeps calls away', function (this: BreakerWorld) {
+Then('the circuit breaker rejects a call', function (this: BreakerWorld) {
   assert.ok(this.breaker.admit() > 0);
 });
 
-Then('the circuit breaker lets a call through', function (this: BreakerWorld) {
+Then('the circuit breaker admits a call', function (this: BreakerWorld) {
   assert.equal(this.breaker.admit(), 0);
 });
 
-Then('the circuit breaker has said {string}', function (this: BreakerWorld, states: string) {
+Then('the circuit breaker has reported {string}', function (this: BreakerWorld, states: string) {
   assert.equal(this.stateChanges.join(','), states);
 });
--- a/packages/platform/src/http/circuit-breaker.ts
+++ b/packages/platform/src/http/circuit-breaker.ts
@@ -1,18 +1,18 @@
-/** Circuit breaker: while the store fails, calls are refused at once instead of piling up on it. */
+/** Circuit breaker: while the store fails, calls are rejected at once instead of piling up on it. */
 import type { Clock } from '@zincspan/core';
 
-/** How a breaker is set up. Times in ms. */
+/** Settings of a circuit breaker. Times in ms. */
 export interface CircuitBreakerOptions {
   clock: Clock;
-  /** Failures in a row that open it. */
+  /** Consecutive failures that open it. */
   failureThreshold: number;
-  /** How long it stays open before it lets an attempt through. */
+  /** How long it stays open before it admits a probe. */
   openMs: number;
-  /** Told of each change of state. */
+  /** Called on each change of state. */
   onChange?: (state: 'open' | 'closed') => void;
 }
 
-/** Opens after failures in a row; once `openMs` has passed, lets one attempt through to probe. */
+/** Opens after `failureThreshold` consecutive failures; after `openMs` it admits one attempt as a probe. */
 export class CircuitBreaker {
   readonly #options: CircuitBreakerOptions;
 
@@ -28,17 +28,17 @@
     return this.#failures >= this.#options.failureThreshold;
   }
 
-  /** How long to stay away, in ms; 0 if an attempt may be made now. */
-  get waitMs(): number {
+  /** Time until an attempt may be made, in ms; 0 if one may be made now. */
+  get remainingOpenMs(): number {
     return this.isOpen ? Math.max(0, this.#openUntil - this.#options.clock.now()) : 0;
   }
 
-  /** Takes leave for an attempt; answers as `waitMs`. */
+  /** Returns `remainingOpenMs`; the attempt is admitted if that is 0. */
   admit(): number {
-    const { waitMs } = this;
-    // This caller probes; others stay away until its outcome is known or another openMs has passed.
-    if (waitMs === 0 && this.isOpen) this.#startOpenPeriod();
-    return waitMs;
+    const { remainingOpenMs } = this;
+    // This caller is the probe; others are rejected until its outcome is known or another openMs has passed.
+    if (remainingOpenMs === 0 && this.isOpen) this.#startOpenPeriod();
+    return remainingOpenMs;
   }
 
   recordSuccess(): void {
--- a/packages/platform/src/http/concurrency-limiter.ts
+++ b/packages/platform/src/http/concurrency-limiter.ts
@@ -1,15 +1,15 @@
-/** Bound on calls at once, with a bounded line of waiting ones. */
+/** Limits concurrent calls; further calls wait in a bounded queue. */
 
-/** Why a call couldn't get its turn. */
-export type LimiterRejection = 'full' | 'waited-too-long' | 'dismissed';
+/** Why a call got no slot. `full`: the queue was full. */
+export type LimiterRejection = 'full' | 'wait-timeout' | 'cancelled';
 
 interface QueuedCall {
-  /** Ends the wait: with a turn, or with a refusal. */
-  settle(refusal?: LimiterRejection): void;
+  /** Ends the wait: with a slot, or with the reason why there is none. */
+  settle(rejection?: LimiterRejection): void;
   timer: NodeJS.Timeout;
 }
 
-/** First come, first served. */
+/** Grants slots in order of arrival. */
 export class ConcurrencyLimiter {
   readonly #concurrency: number;
 
@@ -28,11 +28,11 @@
     return this.#running;
   }
 
-  get waiting(): number {
+  get queued(): number {
     return this.#queue.size;
   }
 
-  /** Waits for a turn, `limitMs` at most. Whoever got one gives it back by `release`. */
+  /** Waits for a slot, at most `maxWaitMs`. A caller that got one must call `release`. */
   async acquire(maxWaitMs: number): Promise<LimiterRejection | undefined> {
     if (this.#running < this.#concurrency) {
       this.#running += 1;
@@ -42,7 +42,7 @@
     return this.#enqueue(maxWaitMs);
   }
 
-  /** Gives a turn back, to the one that has waited longest. */
+  /** Frees a slot, or hands it to the call that has waited longest. */
   release(): void {
     const [first] = this.#queue;
     if (first === undefined) {
@@ -52,24 +52,24 @@
     this.#dequeue(first);
   }
 
-  /** Refuses every call that waits. */
+  /** Rejects every queued call. */
   cancelQueued(): void {
-    [...this.#queue].forEach((queued) => this.#dequeue(queued, 'dismissed'));
+    [...this.#queue].forEach((queued) => this.#dequeue(queued, 'cancelled'));
   }
 
-  #dequeue(waiting: QueuedCall, refusal?: LimiterRejection): void {
-    this.#queue.delete(waiting);
-    clearTimeout(waiting.timer);
-    waiting.settle(refusal);
+  #dequeue(queued: QueuedCall, rejection?: LimiterRejection): void {
+    this.#queue.delete(queued);
+    clearTimeout(queued.timer);
+    queued.settle(rejection);
   }
 
-  async #enqueue(limitMs: number): Promise<LimiterRejection | undefined> {
+  async #enqueue(maxWaitMs: number): Promise<LimiterRejection | undefined> {
     return new Promise((resolve) => {
-      const waiting: QueuedCall = {
+      const queued: QueuedCall = {
         settle: resolve,
-        timer: setTimeout(() => this.#dequeue(waiting, 'waited-too-long'), limitMs),
+        timer: setTimeout(() => this.#dequeue(queued, 'wait-timeout'), maxWaitMs),
       };
-      this.#queue.add(waiting);
+      this.#queue.add(queued);
     });
   }
 }
--- a/packages/platform/src/http/connection-tracker.ts
+++ b/packages/platform/src/http/connection-tracker.ts
@@ -1,7 +1,7 @@
-/** Whether a request that wasn't answered may have been acted on. */
+/** Tells whether a request without a response may have reached the service. */
 import type { ClientRequest } from 'node:http';
 
-/** Notes whether the request ever had a connection to travel on. */
+/** Records whether the request ever got an established connection. */
 export function trackConnection(req: ClientRequest): { connected: boolean } {
   const connection = { connected: false };
   req.once('socket', (socket) => {
--- a/packages/platform/src/http/http-connection-pool.ts
+++ b/packages/platform/src/http/http-connection-pool.ts
@@ -1,13 +1,13 @@
-/** One attempt at an HTTP call: what came back, or whether the service may have acted on it. */
+/** A pool of HTTP connections to one service. A failed attempt tells whether the service may have acted on it. */
 import { Agent } from 'node:http';
 import type { IncomingMessage } from 'node:http';
 import Wreck from '@hapi/wreck';
 import { trackConnection } from './connection-tracker.js';
 
-/** Largest answer read, in bytes. */
+/** Largest response body accepted. */
 const MAX_RESPONSE_BYTES = 64 * 1_048_576;
 
-/** A call to make. `timeoutMs` bounds the whole attempt. */
+/** A request to send. */
 export interface HttpRequest {
   method: 'GET' | 'POST' | 'PUT';
   path: string;
@@ -15,21 +15,21 @@
 }
 
 /**
- * How an attempt ended. `refused`: the service surely didn't act on it (no connection was made, or it answered
- * 503). `lost`: it may have; so too after any other server error.
+ * How an attempt ended. `refused`: the service did not act on the request, as no connection was made or it
+ * answered 503. `lost`: it may have acted on it; any other server error counts as this too.
  */
 export type AttemptResult =
   | { outcome: 'answered'; status: number; body: Buffer }
   | { outcome: 'refused'; detail: string }
   | { outcome: 'lost'; detail: string };
 
-/** Kept connections are closed after this long without use, in ms: what idles is what goes silent. */
+/** Pooled connections idle for longer are closed, as idle connections may be dropped without notice. */
 const IDLE_TIMEOUT_MS = 10_000;
 
 const SERVER_ERROR = 500;
 const SERVICE_UNAVAILABLE = 503;
 
-/** Makes attempts over a bounded pool of kept-alive connections to one address. */
+/** Sends requests to one address over a bounded pool of keep-alive connections. */
 export class HttpConnectionPool {
   readonly #baseUrl: string;
 
@@ -45,13 +45,16 @@
     });
   }
 
-  /** Never rejects. `fresh` dials a new connection, for when a kept one may have gone silent. */
+  /**
+   * Makes one attempt, bounded as a whole by `timeoutMs`. Never rejects. `newConnection` bypasses the pool, for
+   * when a pooled connection may be dead.
+   */
   async attempt(
     { method, path, payload }: HttpRequest,
-    { timeoutMs, fresh }: { timeoutMs: number; fresh: boolean },
+    { timeoutMs, newConnection }: { timeoutMs: number; newConnection: boolean },
   ): Promise<AttemptResult> {
     const pending = Wreck.request(method, `${this.#baseUrl}${path}`, {
-      agent: fresh ? false : this.#agent,
+      agent: newConnection ? false : this.#agent,
       timeout: timeoutMs,
       ...(payload === undefined ? {} : { payload }),
     });
@@ -67,7 +70,7 @@
     }
   }
 
-  /** Closes idle connections: after a timeout they may all have gone silent. */
+  /** Closes idle connections, as after a timeout all of them may be dead. */
   closeIdle(): void {
     const idle = Object.values(this.#agent.freeSockets).flatMap((sockets) => sockets ?? []);
     idle.forEach((socket) => socket.destroy());
@@ -84,7 +87,7 @@
     const status = res.statusCode ?? 0;
     if (status < SERVER_ERROR) return { outcome: 'answered', status, body };
     const outcome = status === SERVICE_UNAVAILABLE ? 'refused' : 'lost';
-    return { outcome, detail: `The service answered ${status}.` };
+    return { outcome, detail: `The service answered with status ${status}.` };
   } catch (err) {
     res.destroy();
     throw err;
--- a/packages/platform/src/http/http-object-store.ts
+++ b/packages/platform/src/http/http-object-store.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's object store. */
+/** HTTP client of the platform's object store. */
 import { ProblemError, type ObjectStore } from '@zincspan/core';
 import { unexpectedResponse } from './response-parsing.js';
 import type { HttpRequest } from './http-connection-pool.js';
@@ -10,7 +10,7 @@
 const NO_CONTENT = 204;
 const NOT_FOUND = 404;
 
-/** Objects over HTTP. Objects are immutable, so a put whose answer was lost is simply repeated. */
+/** Objects are immutable, so a put whose response was lost is simply retried. */
 export class HttpObjectStore implements ObjectStore {
   readonly #client: StoreHttpClient;
 
@@ -31,7 +31,7 @@
     if (response.status !== NO_CONTENT) throw unexpectedResponse(response.status, 'unknown');
   }
 
-  /** Closes idle connections. */
+  /** Closes all pooled connections. */
   close(): void {
     this.#client.close();
   }
@@ -43,7 +43,7 @@
       const mayHaveTakenEffect = result.mayHaveTakenEffect && request.method === 'PUT';
       throw new ProblemError(
         storeUnavailable({
-          detail: `The object store didn't answer in time: ${result.detail}`,
+          detail: `The object store did not answer in time: ${result.detail}`,
           ran: mayHaveTakenEffect ? 'unknown' : 'not-run',
           retryAfterMs: this.#client.retryAfterMs,
         }),
--- a/packages/platform/src/http/http-table.feature
+++ b/packages/platform/src/http/http-table.feature
@@ -5,89 +5,89 @@
     Given a table client of a scripted store
 
   Scenario Outline: a write under faults
-    Given the scripted store meets writes with "<faults>"
+    Given the scripted store handles writes with "<faults>"
     When the table client writes a row
-    Then the table client's write ends as "<end>"
+    Then the result of the table client's write is "<result>"
     And the scripted store has the row at version <version>
-    And every attempt of the table client bore the same write id
+    And every attempt of the table client had the same write id
 
-    Examples: the store acts, or surely doesn't, or the client can settle which
-      | faults         | end     | version |
-      | serve          | written | 1       |
-      | lose           | written | 1       |
-      | down,lose      | written | 1       |
-      | fail           | written | 1       |
-      | lose,lose,lose | written | 1       |
-      | down,down,down | not-run | 0       |
-      | cut,cut,cut    | not-run | 0       |
-      | cut,down,down  | not-run | 0       |
+    Examples: the write took effect, or did not, or the client queries its outcome
+      | faults                                    | result  | version |
+      | serve                                     | written | 1       |
+      | drop-response                             | written | 1       |
+      | unavailable,drop-response                 | written | 1       |
+      | fail                                      | written | 1       |
+      | drop-response,drop-response,drop-response | written | 1       |
+      | unavailable,unavailable,unavailable       | not-run | 0       |
+      | drop-request,drop-request,drop-request    | not-run | 0       |
+      | drop-request,unavailable,unavailable      | not-run | 0       |
 
-  Scenario: whatever befalls a write, its end is true
-    When the table client writes under every three faults in a row and every fault of settling
-    Then every write that ended as written is there
-    And no write that ended as not-run is there, or arrives later
-    And each end was seen
+  Scenario: the reported result of a write is true under every combination of faults
+    When the table client writes under every sequence of three faults and every fault of the outcome query
+    Then every write reported as written took effect
+    And no write reported as not-run took effect, then or later
+    And each result occurred
 
-  Scenario: a write that arrives after it was settled has no effect
-    Given the scripted store meets writes with "hold,cut,cut"
+  Scenario: a write that arrives after its outcome was queried has no effect
+    Given the scripted store handles writes with "hold,drop-request,drop-request"
     When the table client writes a row
-    And the scripted store's held writes arrive
-    Then the table client's write ends as "not-run"
+    And the held writes reach the scripted store
+    Then the result of the table client's write is "not-run"
     And the scripted store has the row at version 0
 
-  Scenario: a write that can't be settled is unknown
-    Given a table client that gives up after 400 ms
-    And the scripted store meets writes with "lose,lose,lose"
-    And the scripted store meets settling with "cut"
+  Scenario: a write whose outcome can't be queried is unknown
+    Given a table client with a call timeout of 400 ms
+    And the scripted store handles writes with "drop-response,drop-response,drop-response"
+    And the scripted store handles outcome queries with "drop-request"
     When the table client writes a row
-    Then the table client's write ends as "unknown"
-    And the table client tells when to come back
+    Then the result of the table client's write is "unknown"
+    And the table client's error has a retry delay
 
-  Scenario: a write that was only ever refused needs no settling
-    Given the scripted store meets writes with "down,down,down"
-    And the scripted store meets settling with "cut"
+  Scenario: a write that was refused in every attempt needs no query of its outcome
+    Given the scripted store handles writes with "unavailable,unavailable,unavailable"
+    And the scripted store handles outcome queries with "drop-request"
     When the table client writes a row
-    Then the table client's write ends as "not-run"
+    Then the result of the table client's write is "not-run"
 
-  Scenario: a stale write gets the row as it stands
+  Scenario: a write with a stale version conflicts
     When the table client writes a row
     And the table client writes a row
-    Then the table client's write ends as "conflict"
+    Then the result of the table client's write is "conflict"
 
-  Scenario: a read is repeated
-    Given the scripted store meets reads with "down,cut"
+  Scenario: a failed read is retried
+    Given the scripted store handles reads with "unavailable,drop-request"
     When the table client reads a row
     Then the table client's read finds version 0
 
-  Scenario: a transaction of the same row twice isn't sent
+  Scenario: a transaction that writes a row twice isn't sent
     When the table client writes the same row twice at once
-    Then the table client's write ends as "bad-input"
-    And the scripted store got 0 calls
+    Then the result of the table client's write is "bad-input"
+    And the scripted store received 0 calls
 
   Scenario: calls don't pile up on a store that hangs
-    Given a table client with room for 2 calls and 1 waiting
-    And the scripted store meets reads with "hold,hold,hold,hold,hold,hold,hold,hold"
+    Given a table client with room for 2 concurrent calls and 1 queued
+    And the scripted store handles reads with "hold,hold,hold,hold,hold,hold,hold,hold"
     When the table client starts 4 reads
-    Then the table client refuses one of them before the others end
-    And the table client's reads all end as "store-unavailable"
+    Then the table client rejects the last read before the others end
+    And all reads of the table client fail with "store-unavailable"
 
-  Scenario: a store that keeps failing is left alone
-    Given a table client that leaves a store alone after 2 failures
-    And the scripted store meets writes with "down,down"
+  Scenario: calls to a store that keeps failing are rejected without an attempt
+    Given a table client whose circuit breaker opens after 2 failures
+    And the scripted store handles writes with "unavailable,unavailable"
     When the table client writes a row
     And the table client writes a row
-    Then the table client's write ends as "not-run"
-    And the scripted store got 2 calls
-    And the table client tells when to come back
+    Then the result of the table client's write is "not-run"
+    And the scripted store received 2 calls
+    And the table client's error has a retry delay
 
-  Scenario: a write that waits for its turn is given up once the store is seen to fail
-    Given a table client with room for 1 calls that leaves a store alone after 1 failures
-    And the scripted store meets writes with "hold"
-    And the scripted store meets settling with "hold"
+  Scenario: a queued write is rejected once the circuit breaker opens
+    Given a table client with room for 1 concurrent calls whose circuit breaker opens after 1 failures
+    And the scripted store handles writes with "hold"
+    And the scripted store handles outcome queries with "hold"
     When the table client starts 2 writes
-    Then the table client ends the second first, as its last calls failed
+    Then the table client rejects the second write first because its last calls failed
 
-  Scenario: a store that isn't there surely did nothing
-    Given the scripted store is gone
+  Scenario: a write to a store that refuses connections is not run
+    Given the scripted store is closed
     When the table client writes a row
-    Then the table client's write ends as "not-run"
+    Then the result of the table client's write is "not-run"
--- a/packages/platform/src/http/http-table.steps.ts
+++ b/packages/platform/src/http/http-table.steps.ts
@@ -9,7 +9,7 @@
   store?: ScriptedStore;
   storeAddress: string;
   tables?: HttpTable[];
-  written: WriteResult | Problem;
+  result: WriteResult | Problem;
   read: Row | Problem;
   reads: Promise<Row | Problem>[];
   writes: Promise<WriteResult | Problem>[];
@@ -42,56 +42,59 @@
 });
 
 Given(
-  'a table client with room for {int} calls and {int} waiting',
-  function (this: TableWorld, concurrency: number, waiting: number) {
-    newTable(this, { concurrency, maxQueued: waiting, totalMs: 400 });
+  'a table client with room for {int} concurrent calls and {int} queued',
+  function (this: TableWorld, concurrency: number, maxQueued: number) {
+    newTable(this, { concurrency, maxQueued, totalMs: 400 });
   },
 );
 
-Given('a table client that gives up after {int} ms', function (this: TableWorld, totalMs: number) {
-  newTable(this, { totalMs });
-});
+Given(
+  'a table client with a call timeout of {int} ms',
+  function (this: TableWorld, totalMs: number) {
+    newTable(this, { totalMs });
+  },
+);
 
 Given(
-  'a table client that leaves a store alone after {int} failures',
-  function (this: TableWorld, failuresToOpen: number) {
-    newTable(this, { failureThreshold: failuresToOpen, openMs: 600_000 });
+  'a table client whose circuit breaker opens after {int} failures',
+  function (this: TableWorld, failureThreshold: number) {
+    newTable(this, { failureThreshold, openMs: 600_000 });
   },
 );
 
 Given(
-  'a table client with room for {int} calls that leaves a store alone after {int} failures',
-  function (this: TableWorld, concurrency: number, failuresToOpen: number) {
-    newTable(this, { concurrency, failureThreshold: failuresToOpen, totalMs: 1500 });
+  'a table client with room for {int} concurrent calls whose circuit breaker opens after {int} failures',
+  function (this: TableWorld, concurrency: number, failureThreshold: number) {
+    newTable(this, { concurrency, failureThreshold, totalMs: 1500 });
   },
 );
 
 Given(
-  /^the scripted store meets (writes|reads) with "(.*)"$/,
-  function (this: TableWorld, sort: 'writes' | 'reads', faults: string) {
-    this.store![sort] = faults.split(',') as ScriptAction[];
+  /^the scripted store handles (writes|reads) with "(.*)"$/,
+  function (this: TableWorld, operation: 'writes' | 'reads', faults: string) {
+    this.store![operation] = faults.split(',') as ScriptAction[];
   },
 );
 
 Given(
-  'the scripted store meets settling with {string}',
+  'the scripted store handles outcome queries with {string}',
   function (this: TableWorld, fault: ScriptAction) {
     this.store!.statusQuery = fault;
   },
 );
 
-Given('the scripted store is gone', function (this: TableWorld) {
+Given('the scripted store is closed', function (this: TableWorld) {
   this.store!.close();
 });
 
 When('the table client writes a row', async function (this: TableWorld) {
   const writes = [{ key: KEY, ifVersion: 0, value: { state: 'queued' } }];
-  this.written = await this.tables![0]!.write(writes).catch(toProblem);
+  this.result = await this.tables![0]!.write(writes).catch(toProblem);
 });
 
 When('the table client writes the same row twice at once', async function (this: TableWorld) {
   const write = { key: KEY, ifVersion: 0, value: 1 };
-  this.written = await this.tables![0]!.write([write, write]).catch(toProblem);
+  this.result = await this.tables![0]!.write([write, write]).catch(toProblem);
 });
 
 When('the table client reads a row', async function (this: TableWorld) {
@@ -110,15 +113,18 @@
   );
 });
 
-When("the scripted store's held writes arrive", function (this: TableWorld) {
+When('the held writes reach the scripted store', function (this: TableWorld) {
   this.store!.applyHeldWrites();
 });
 
-Then("the table client's write ends as {string}", function (this: TableWorld, end: string) {
-  const { written } = this;
-  if ('outcome' in written) assert.equal(written.outcome, end);
-  else assert.equal(written.kind === 'store-unavailable' ? written.ran : written.kind, end);
-});
+Then(
+  "the result of the table client's write is {string}",
+  function (this: TableWorld, expected: string) {
+    const { result } = this;
+    if ('outcome' in result) assert.equal(result.outcome, expected);
+    else assert.equal(result.kind === 'store-unavailable' ? result.ran : result.kind, expected);
+  },
+);
 
 Then("the table client's read finds version {int}", function (this: TableWorld, version: number) {
   assert.deepEqual(this.read, { key: KEY, version, value: null });
@@ -131,20 +137,20 @@
   },
 );
 
-Then('every attempt of the table client bore the same write id', function (this: TableWorld) {
+Then('every attempt of the table client had the same write id', function (this: TableWorld) {
   assert.equal(new Set(this.store!.writeIds).size, 1);
 });
 
-Then('the table client tells when to come back', function (this: TableWorld) {
-  assert.ok('retryAfterMs' in this.written && this.written.retryAfterMs! > 0);
+Then("the table client's error has a retry delay", function (this: TableWorld) {
+  assert.ok('retryAfterMs' in this.result && this.result.retryAfterMs! > 0);
 });
 
-Then('the scripted store got {int} calls', function (this: TableWorld, calls: number) {
+Then('the scripted store received {int} calls', function (this: TableWorld, calls: number) {
   assert.equal(this.store!.requestCount, calls);
 });
 
 Then(
-  'the table client refuses one of them before the others end',
+  'the table client rejects the last read before the others end',
   async function (this: TableWorld) {
     const first = await Promise.race(this.reads.map(async (read, i) => read.then(() => i)));
     assert.equal(first, this.reads.length - 1);
@@ -152,7 +158,7 @@
 );
 
 Then(
-  'the table client ends the second first, as its last calls failed',
+  'the table client rejects the second write first because its last calls failed',
   async function (this: TableWorld) {
     const first = (await Promise.race(this.writes)) as Problem;
     assert.equal(first, await this.writes[1]);
@@ -161,9 +167,9 @@
 );
 
 Then(
-  "the table client's reads all end as {string}",
+  'all reads of the table client fail with {string}',
   async function (this: TableWorld, kind: string) {
-    const ends = await Promise.all(this.reads);
-    ends.forEach((end) => assert.equal((end as Problem).kind, kind));
+    const failures = await Promise.all(this.reads);
+    failures.forEach((failure) => assert.equal((failure as Problem).kind, kind));
   },
 );
--- a/packages/platform/src/http/http-table.ts
+++ b/packages/platform/src/http/http-table.ts
@@ -1,4 +1,4 @@
-/** Client of the platform's table service. */
+/** HTTP client of the platform's table service. */
 import { randomUUID } from 'node:crypto';
 import {
   ProblemError,
@@ -22,7 +22,7 @@
 const NOT_FOUND = 404;
 const CONFLICT = 409;
 
-/** Table over HTTP. Reads and writes wait for their turns apart, so that neither starves the other. */
+/** Reads and writes have separate limits and queues, so that neither starves the other. */
 export class HttpTable implements Table {
   readonly #readClient: StoreHttpClient;
 
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Closes idle connections. */
+  /** Closes all pooled connections. */
   close(): void {
     this.#readClient.close();
     this.#writeClient.close();
@@ -86,7 +86,10 @@
     });
   }
 
-  /** Learns what became of a write whose answer was lost; if it hasn't arrived, it never will. */
+  /**
+   * Asks the service for the outcome of a write whose response was lost. A write that hasn't arrived by then is
+   * cancelled: it has no effect if it arrives later.
+   */
   async #resolveOutcome(
     writeId: string,
     { deadline }: TimeBudget,
@@ -102,7 +105,7 @@
   #unavailable(client: StoreHttpClient, detail: string, ran: 'not-run' | 'unknown'): ProblemError {
     return new ProblemError(
       storeUnavailable({
-        detail: `The table didn't answer in time: ${detail}`,
+        detail: `The table service did not answer in time: ${detail}`,
         ran,
         retryAfterMs: client.retryAfterMs,
       }),
@@ -110,7 +113,7 @@
   }
 }
 
-/** Reads the answer to a write; any but the two that the interface allows is a refusal. */
+/** Parses the response to a write. With any status but the two that the API defines, the write was not made. */
 function parseWriteResult(response: StoreResponse): WriteResult {
   if (response.status === OK) {
     const { versions } = parseResponse(versionListSchema, response, 'unknown');
--- a/packages/platform/src/http/response-parsing.ts
+++ b/packages/platform/src/http/response-parsing.ts
@@ -1,9 +1,9 @@
-/** Reading the platform's answers, each checked against its schema. */
+/** Parses responses of the table service and the object store and checks them against their schemas. */
 import { ProblemError, problem, type Ran } from '@zincspan/core';
 import type { z } from 'zod';
 import type { StoreResponse } from './store-http-client.js';
 
-/** The body of an answer as its schema describes it. Throws ProblemError `internal` if it doesn't fit. */
+/** Parses a response body by `schema`. Throws ProblemError `internal` if it doesn't match. */
 export function parseResponse<T extends z.ZodType>(
   schema: T,
   { status, body }: StoreResponse,
@@ -14,12 +14,13 @@
   throw unexpectedResponse(status, ran);
 }
 
-/** For an answer that the interface doesn't allow. */
+/** The error for a response that the store's API doesn't define. */
 export function unexpectedResponse(status: number, ran: Ran): ProblemError {
   return new ProblemError(
     problem('internal', {
-      detail: `The store's answer with status ${status} wasn't understood.`,
-      remedy: 'Check that the address given for the store is right and its version is supported.',
+      detail: `The store sent an unexpected response with status ${status}.`,
+      remedy:
+        'Check that the configured store address is right and that the version of the store is supported.',
       ran,
     }),
   );
--- a/packages/platform/src/http/scripted-store.support.ts
+++ b/packages/platform/src/http/scripted-store.support.ts
@@ -1,4 +1,4 @@
-/** A store for tests that misbehaves by script: one action for each write that arrives. */
+/** Store server for tests that injects faults by a script: one action for each request that arrives. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import Wreck from '@hapi/wreck';
@@ -6,28 +6,35 @@
 import { RowStore } from '../table/row-store.js';
 
 /**
- * `serve` as it should; `down` answers 503; `cut` has no effect, `lose` has, and both cut the connection; `fail`
- * has effect and answers 500; `hold` never answers, and has its effect when released.
+ * `serve` acts normally; `unavailable` answers 503; `drop-request` closes the connection without effect and
+ * `drop-response` after the effect; `fail` takes effect and answers 500; `hold` never answers, and a held write
+ * takes effect in `applyHeldWrites`.
  */
-export const SCRIPT_ACTIONS = ['serve', 'down', 'cut', 'lose', 'fail', 'hold'] as const;
+export const SCRIPT_ACTIONS = [
+  'serve',
+  'unavailable',
+  'drop-request',
+  'drop-response',
+  'fail',
+  'hold',
+] as const;
 export type ScriptAction = (typeof SCRIPT_ACTIONS)[number];
 
-/** Serves rows; everything beyond the script is served as it should. */
+/** Serves rows; requests beyond the script are served normally. */
 export class ScriptedStore {
   readonly rows = new RowStore();
 
   readonly writeIds: string[] = [];
 
-  /** Actions for the writes to come. */
+  /** Actions for the next writes. */
   writes: ScriptAction[] = [];
 
-  /** Action for each question about a write id. */
+  /** Action for each query of a write's outcome. */
   statusQuery: ScriptAction = 'serve';
 
-  /** Action for the reads to come. */
+  /** Actions for the next reads. */
   reads: ScriptAction[] = [];
 
-  /** Calls that arrived. */
   requestCount = 0;
 
   readonly #heldWrites: Transaction[] = [];
@@ -47,7 +54,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Lets the held writes arrive. */
+  /** Applies the held writes, as if they arrived late. */
   applyHeldWrites(): void {
     this.#heldWrites.splice(0).forEach(({ writeId, writes }) => this.rows.write(writeId, writes));
   }
@@ -66,8 +73,8 @@
     }
     if (path[2] === 'transactions') {
       return respond(this.statusQuery, res, () => {
-        const settled = this.rows.resolveOutcome(path[3]!);
-        return settled.outcome === 'written' ? [200, { versions: settled.versions }] : [404, {}];
+        const resolved = this.rows.resolveOutcome(path[3]!);
+        return resolved.outcome === 'written' ? [200, { versions: resolved.versions }] : [404, {}];
       });
     }
     const key = decodeURIComponent(path[3]!);
@@ -89,15 +96,15 @@
 
 function respond(action: ScriptAction, res: ServerResponse, effect: () => [number, object]): void {
   if (action === 'hold') return;
-  if (action === 'cut') {
+  if (action === 'drop-request') {
     res.destroy();
     return;
   }
-  if (action === 'down') {
+  if (action === 'unavailable') {
     res.writeHead(503).end();
     return;
   }
   const [status, body] = effect();
-  if (action === 'lose') res.destroy();
+  if (action === 'drop-response') res.destroy();
   else res.writeHead(action === 'fail' ? 500 : status).end(JSON.stringify(body));
 }
--- a/packages/platform/src/http/store-http-client.ts
+++ b/packages/platform/src/http/store-http-client.ts
@@ -1,4 +1,4 @@
-/** Calls to the platform under bounds: attempts, time, concurrency, and a circuit breaker. */
+/** Sends requests to a store with limits on retries, time and concurrency, and with a circuit breaker. */
 import { ProblemError, type Clock } from '@zincspan/core';
 import { fullJitterMs, sleep } from './backoff.js';
 import { ConcurrencyLimiter, type LimiterRejection } from './concurrency-limiter.js';
@@ -11,35 +11,35 @@
 import { withDefaults, type StoreOptions } from './store-options.js';
 import { storeUnavailable } from './store-unavailable.js';
 
-/** Shortest pause between attempts that are limited by time alone, in ms. */
+/** Shortest delay between attempts that are limited only by a deadline. */
 const MIN_RETRY_DELAY_MS = 10;
 
-/** Why a call wasn't made, in words. */
+/** Error texts for calls that were not attempted. */
 const REJECTION_REASONS: Record<LimiterRejection, string> = {
-  full: 'too many calls wait for it',
-  'waited-too-long': 'other calls kept it busy',
-  dismissed: 'its last calls failed',
+  full: 'too many calls are waiting for it already',
+  'wait-timeout': 'other calls used all its slots until the time limit',
+  cancelled: 'its last calls failed',
 };
 
-/** An answer of the service, whatever its status. */
+/** A response of the service, with any status below 500. */
 export type StoreResponse = Extract<AttemptResult, { outcome: 'answered' }>;
 
-/** No attempt was answered. `maybeActed`: the service may have acted on one. */
+/** No attempt got a response. `mayHaveTakenEffect`: the service may have acted on one of them. */
 export interface NoResponse {
   outcome: 'unanswered';
   mayHaveTakenEffect: boolean;
   detail: string;
 }
 
-/** The time that one logical call has left. */
+/** Time budget of one call with all its attempts. */
 export interface TimeBudget {
-  /** On the caller's clock, in ms. */
+  /** On the client's clock, in ms. */
   deadline: number;
-  /** Kept back from repeats, for settling a write afterwards. */
+  /** Not available to retries: kept to ask for the outcome of a write afterwards. */
   reserveMs: number;
 }
 
-/** Makes calls to one service. */
+/** Client of one service. */
 export class StoreHttpClient {
   readonly #options: Required<StoreOptions>;
 
@@ -63,16 +63,16 @@
     });
   }
 
-  /** Time until another call makes sense, in ms, with jitter so that callers don't return in step. */
+  /** Recommended time until the next call, in ms, with jitter so that callers don't retry in lockstep. */
   get retryAfterMs(): number {
     const { openMs, random } = this.#options;
-    return Math.max(this.#breaker.waitMs, openMs) + random() * openMs;
+    return Math.max(this.#breaker.remainingOpenMs, openMs) + random() * openMs;
   }
 
-  /** Runs `call` in its turn. Rejects with `store-unavailable`, not run, when it gets none. */
-  async withSlot<T>(reserveMs: number, call: (time: TimeBudget) => Promise<T>): Promise<T> {
+  /** Runs `call` once there is a free slot. Rejects with `store-unavailable` and `not-run` if it gets none. */
+  async withSlot<T>(reserveMs: number, call: (budget: TimeBudget) => Promise<T>): Promise<T> {
     const deadline = this.#clock.now() + this.#options.totalMs;
-    this.#throwIfOpen(this.#breaker.waitMs);
+    this.#throwIfOpen(this.#breaker.remainingOpenMs);
     const rejection = await this.#limiter.acquire(this.#options.totalMs - reserveMs);
     if (rejection !== undefined) throw this.#notAttempted(REJECTION_REASONS[rejection]);
     try {
@@ -83,26 +83,26 @@
     }
   }
 
-  /** Repeats the call until it is answered, or attempts or time have run out. */
+  /** Retries the request until it gets a response, attempts or time run out, or the circuit breaker opens. */
   async sendWithRetries(
     request: HttpRequest,
     budget: TimeBudget,
   ): Promise<StoreResponse | NoResponse> {
     let mayHaveTakenEffect = false;
-    let detail = 'No attempt was made in time.';
+    let detail = 'No attempt was made, as no time was left.';
     for (let attempt = 0; attempt < this.#options.maxAttempts; attempt++) {
       if (attempt > 0) await this.#delayBeforeRetry(attempt, budget);
       const timeoutMs = this.#attemptTimeoutMs(budget);
-      if (timeoutMs <= 0 || (attempt > 0 && this.#breaker.waitMs > 0)) break;
-      const result = await this.#attempt(request, { timeoutMs, fresh: attempt > 0 });
+      if (timeoutMs <= 0 || (attempt > 0 && this.#breaker.remainingOpenMs > 0)) break;
+      const result = await this.#attempt(request, { timeoutMs, newConnection: attempt > 0 });
       if (result.outcome === 'answered') return result;
       mayHaveTakenEffect ||= result.outcome === 'lost';
       detail = result.detail;
     }
-    return { outcome: 'unanswered', mayHaveTakenEffect: mayHaveTakenEffect, detail };
+    return { outcome: 'unanswered', mayHaveTakenEffect, detail };
   }
 
-  /** Repeats a call that must be answered if at all possible: until the deadline, past an open breaker. */
+  /** Retries until the deadline, even while the circuit breaker is open: for requests that need a response. */
   async sendUntilDeadline(
     request: HttpRequest,
     deadline: number,
@@ -110,7 +110,7 @@
     const budget = { deadline, reserveMs: 0 };
     for (let attempt = 1; this.#attemptTimeoutMs(budget) > 0; attempt++) {
       const timeoutMs = this.#attemptTimeoutMs(budget);
-      const result = await this.#attempt(request, { timeoutMs, fresh: true });
+      const result = await this.#attempt(request, { timeoutMs, newConnection: true });
       if (result.outcome === 'answered') return result;
       await this.#delayBeforeRetry(attempt, budget, MIN_RETRY_DELAY_MS);
     }
@@ -122,12 +122,12 @@
   }
 
   async #attempt(
-    call: HttpRequest,
-    options: { timeoutMs: number; fresh: boolean },
+    request: HttpRequest,
+    options: { timeoutMs: number; newConnection: boolean },
   ): Promise<AttemptResult> {
     const { metrics } = this.#options;
     const startedAt = this.#clock.now();
-    const result = await this.#connections.attempt(call, options);
+    const result = await this.#connections.attempt(request, options);
     metrics.timing('store.attempt', this.#clock.now() - startedAt);
     if (result.outcome === 'answered') {
       this.#breaker.recordSuccess();
@@ -139,32 +139,32 @@
     return result;
   }
 
-  async #delayBeforeRetry(attempt: number, time: TimeBudget, minMs = 0): Promise<void> {
-    const leftMs = time.deadline - time.reserveMs - this.#clock.now();
-    const pauseMs = Math.max(minMs, fullJitterMs(attempt, this.#options));
-    if (leftMs > 0) await sleep(Math.min(pauseMs, leftMs));
+  async #delayBeforeRetry(attempt: number, budget: TimeBudget, minDelayMs = 0): Promise<void> {
+    const leftMs = budget.deadline - budget.reserveMs - this.#clock.now();
+    const delayMs = Math.max(minDelayMs, fullJitterMs(attempt, this.#options));
+    if (leftMs > 0) await sleep(Math.min(delayMs, leftMs));
   }
 
   #attemptTimeoutMs({ deadline, reserveMs }: TimeBudget): number {
     return Math.min(this.#options.timeoutMs, deadline - reserveMs - this.#clock.now());
   }
 
-  #throwIfOpen(waitMs: number): void {
-    if (waitMs > 0) throw this.#notAttempted(REJECTION_REASONS.dismissed);
+  #throwIfOpen(remainingOpenMs: number): void {
+    if (remainingOpenMs > 0) throw this.#notAttempted(REJECTION_REASONS.cancelled);
   }
 
   #onBreakerChange(state: 'open' | 'closed'): void {
     const { metrics, log, address } = this.#options;
     metrics.count(`store.breaker-${state}`);
-    // Whoever waits for a turn is given up at once, rather than when its time has run out.
+    // Queued calls are rejected at once, rather than when their time has run out.
     if (state === 'open') this.#limiter.cancelQueued();
-    if (state === 'open') log.warn({ address }, 'store failing, calls refused');
-    else log.info({ address }, 'store answering again');
+    if (state === 'open') log.warn({ address }, 'circuit breaker opened, rejecting calls');
+    else log.info({ address }, 'circuit breaker closed, store answers again');
   }
 
-  #notAttempted(why: string): ProblemError {
+  #notAttempted(reason: string): ProblemError {
     this.#options.metrics.count('store.not-tried');
-    const detail = `The store at ${this.#options.address} wasn't asked: ${why}.`;
+    const detail = `The store at ${this.#options.address} was not called: ${reason}.`;
     return new ProblemError(
       storeUnavailable({ detail, ran: 'not-run', retryAfterMs: this.retryAfterMs }),
     );
--- a/packages/platform/src/http/store-options.ts
+++ b/packages/platform/src/http/store-options.ts
@@ -1,31 +1,31 @@
 /** Options that the table and object store clients share. */
 import { SystemClock, type Clock, type Log, type Metrics } from '@zincspan/core';
 
-/** How a client reaches the platform. All times in ms. */
+/** Settings of a client. All times in ms. */
 export interface StoreOptions {
   /** `IP:port` of the service. */
   address: string;
-  /** Bound on one attempt, from dialling to the last byte of the answer. */
+  /** Limit of one attempt, from connecting to the last byte of the response. */
   timeoutMs?: number;
-  /** Bound on a whole call: waiting, attempts, pauses and settling. */
+  /** Limit of a whole call: queueing, attempts, delays, and asking for the outcome of a write. */
   totalMs?: number;
-  /** Attempts of one call. */
+  /** Attempts of one call, the first included. */
   maxAttempts?: number;
-  /** Longest pause before the second attempt; it doubles with each further one, up to `maxBackoffMs`. */
+  /** Longest delay before the first retry; it doubles with each further one, up to `maxBackoffMs`. */
   backoffMs?: number;
   maxBackoffMs?: number;
-  /** Calls at once; further ones wait, up to `waiting` of them, and the rest are refused. */
+  /** Concurrent calls; up to `maxQueued` further ones wait, and the rest are rejected. */
   concurrency?: number;
   maxQueued?: number;
-  /** Failed attempts in a row that open the circuit breaker, and how long it stays open. */
+  /** Consecutive failed attempts that open the circuit breaker, and how long it stays open. */
   failureThreshold?: number;
   openMs?: number;
-  /** Must keep step with the host's timers. */
+  /** Must run at the same rate as the host's timers, as time limits use both. */
   clock?: Clock;
-  /** 0 to 1; for the jitter of pauses. */
+  /** Returns 0 to 1; for the jitter of delays. */
   random?: () => number;
   metrics?: Metrics;
-  /** Told when the circuit breaker opens and closes. */
+  /** Gets a message when the circuit breaker opens or closes. */
   log?: Log;
 }
 
@@ -33,7 +33,7 @@
 
 const NO_LOG: Log = { info() {}, warn() {}, error() {} };
 
-/** The options with every default filled in. The total allows for all attempts unless it is given. */
+/** Fills in the defaults. Unless given, `totalMs` allows for all attempts. */
 export function withDefaults(options: StoreOptions): Required<StoreOptions> {
   const timeoutMs = options.timeoutMs ?? 1000;
   return {
@@ -54,7 +54,7 @@
   };
 }
 
-/** The options without those that were passed as undefined. */
+/** Drops the options that were passed as undefined. */
 function withoutUndefined(options: StoreOptions): StoreOptions {
   const entries = Object.entries(options).filter(([, value]) => value !== undefined);
   return Object.fromEntries(entries) as unknown as StoreOptions;
--- a/packages/platform/src/http/store-unavailable.ts
+++ b/packages/platform/src/http/store-unavailable.ts
@@ -1,16 +1,15 @@
-/** The one problem that the platform's clients reject with. */
+/** The problem with which the store clients reject while a store is unavailable. */
 import { problem, type Problem, type Ran } from '@zincspan/core';
 
-/** Default time until another try makes sense, in ms. */
 const DEFAULT_RETRY_AFTER_MS = 1000;
 
 const REMEDIES: Record<Ran, string> = {
-  'not-run': 'Nothing was changed; try again after the time given.',
+  'not-run': 'Nothing was changed; retry after the given time.',
   ran: 'The change was made; read it back.',
-  unknown: 'Read the rows back before trying again, as the change may have been made.',
+  unknown: 'Read the rows back before retrying, as the change may have been made.',
 };
 
-/** `store-unavailable`, with what is known of the write's effect. `retryAfterMs` in ms. */
+/** Builds a `store-unavailable` problem; `ran` tells whether a write took effect. */
 export function storeUnavailable({
   detail,
   ran,
--- a/packages/platform/src/http/write-fault-combinations.steps.ts
+++ b/packages/platform/src/http/write-fault-combinations.steps.ts
@@ -4,10 +4,10 @@
 import { HttpTable } from './http-table.js';
 import { SCRIPT_ACTIONS, ScriptedStore, type ScriptAction } from './scripted-store.support.js';
 
-/** One write: the faults it met, how it ended, and whether its row was there once all had arrived. */
+/** One write: its faults, the reported result, and whether the row exists after all held writes were applied. */
 interface Trial {
   faults: string;
-  end: string;
+  result: string;
   rowExists: boolean;
 }
 
@@ -15,7 +15,6 @@
   trials: Trial[];
 }
 
-/** Writers at once. */
 const CONCURRENT_TRIALS = 48;
 
 async function runTrial(writes: ScriptAction[], statusQuery: ScriptAction): Promise<Trial> {
@@ -24,24 +23,24 @@
   Object.assign(store, { writes, statusQuery });
   const address = await store.start();
   const table = new HttpTable({ address, timeoutMs: 40, totalMs: 200, random: () => 0 });
-  const end = await table.write([{ key: 'a', ifVersion: 0, value: 1 }]).then(
+  const result = await table.write([{ key: 'a', ifVersion: 0, value: 1 }]).then(
     ({ outcome }) => outcome,
     (err: unknown) => toProblem(err).ran,
   );
   store.applyHeldWrites();
   table.close();
   store.close();
-  return { faults, end, rowExists: store.rows.get('a').version > 0 };
+  return { faults, result, rowExists: store.rows.get('a').version > 0 };
 }
 
-/** All ways to pick `length` actions in a row. */
+/** All sequences of `length` actions. */
 function sequences(length: number): ScriptAction[][] {
   if (length === 0) return [[]];
   return sequences(length - 1).flatMap((head) => SCRIPT_ACTIONS.map((action) => [...head, action]));
 }
 
 When(
-  'the table client writes under every three faults in a row and every fault of settling',
+  'the table client writes under every sequence of three faults and every fault of the outcome query',
   { timeout: 60_000 },
   async function (this: TrialsWorld) {
     const scripts = SCRIPT_ACTIONS.flatMap((statusQuery) =>
@@ -57,17 +56,17 @@
   },
 );
 
-Then('every write that ended as written is there', function (this: TrialsWorld) {
-  const untrue = this.trials.filter(({ end, rowExists: there }) => end === 'written' && !there);
-  assert.deepEqual(untrue, []);
+Then('every write reported as written took effect', function (this: TrialsWorld) {
+  const wrong = this.trials.filter(({ result, rowExists }) => result === 'written' && !rowExists);
+  assert.deepEqual(wrong, []);
 });
 
-Then('no write that ended as not-run is there, or arrives later', function (this: TrialsWorld) {
-  const untrue = this.trials.filter(({ end, rowExists: there }) => end === 'not-run' && there);
-  assert.deepEqual(untrue, []);
+Then('no write reported as not-run took effect, then or later', function (this: TrialsWorld) {
+  const wrong = this.trials.filter(({ result, rowExists }) => result === 'not-run' && rowExists);
+  assert.deepEqual(wrong, []);
 });
 
-Then('each end was seen', function (this: TrialsWorld) {
-  const ends = new Set(this.trials.map(({ end }) => end));
-  assert.deepEqual([...ends].sort(), ['not-run', 'unknown', 'written']);
+Then('each result occurred', function (this: TrialsWorld) {
+  const results = new Set(this.trials.map(({ result }) => result));
+  assert.deepEqual([...results].sort(), ['not-run', 'unknown', 'written']);
 });
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of the platform's table service and object store, and in-memory ones for tests. */
+/** Clients of the platform's table service and object store, and in-memory implementations for tests. */
 export * from './table/row-store.js';
 export * from './memory/memory-faults.js';
 export * from './memory/memory-table.js';
--- a/packages/platform/src/memory/memory-faults.ts
+++ b/packages/platform/src/memory/memory-faults.ts
@@ -1,30 +1,32 @@
-/** Faults that tests switch on in the in-memory table and object store. */
+/** Faults that tests inject into the in-memory table and object store. */
 import { ProblemError } from '@zincspan/core';
 import { sleep } from '../http/backoff.js';
 import { storeUnavailable } from '../http/store-unavailable.js';
 
-/** Faults in force. Counts go down with each write that they hit. */
+/** Active faults. Each write that a counted fault affects decrements its count. */
 export class MemoryFaults {
-  /** Every call is refused at once; writes surely don't take effect. */
-  unavailable = false;
+  /** Every call is rejected, and writes don't take effect. */
+  down = false;
 
-  /** Every call takes this long, in ms. */
+  /** Delay of every call. */
   latencyMs = 0;
 
-  /** The next writes take effect, but reject with `unknown`. */
+  /** How many of the next writes take effect, but reject with `unknown`. */
   responsesToLose = 0;
 
-  /** The next writes never take effect, but reject with `unknown`. */
+  /** How many of the next writes reject with `unknown` and never take effect. */
   writesToLose = 0;
 
-  /** Lets a call through, late if slow. Rejects with `store-unavailable` if down. */
+  /** Delays a call by `latencyMs`. Rejects with `store-unavailable` while `down` is set. */
   async beforeCall(): Promise<void> {
     if (this.latencyMs > 0) await sleep(this.latencyMs);
-    if (!this.unavailable) return;
-    throw new ProblemError(storeUnavailable({ detail: 'The store is down.', ran: 'not-run' }));
+    if (!this.down) return;
+    throw new ProblemError(
+      storeUnavailable({ detail: 'The store is unavailable.', ran: 'not-run' }),
+    );
   }
 
-  /** Makes a write. Rejects with `store-unavailable` if a fault hits it. */
+  /** Makes a write. Rejects with `store-unavailable` if a fault affects it. */
   async write<T>(applyWrite: () => T): Promise<T> {
     await this.beforeCall();
     if (this.writesToLose > 0) {
@@ -40,6 +42,6 @@
 
 function lostResponse(): ProblemError {
   return new ProblemError(
-    storeUnavailable({ detail: 'The answer to a write was lost.', ran: 'unknown' }),
+    storeUnavailable({ detail: 'The response to a write was lost.', ran: 'unknown' }),
   );
 }
--- a/packages/platform/src/memory/memory-object-store.ts
+++ b/packages/platform/src/memory/memory-object-store.ts
@@ -1,8 +1,8 @@
-/** An object store in memory, for tests and benches. */
+/** In-memory object store for tests and benchmarks. */
 import type { ObjectStore } from '@zincspan/core';
 import { MemoryFaults } from './memory-faults.js';
 
-/** Objects in memory with switchable faults. */
+/** Holds objects in memory; tests inject failures by `faults`. */
 export class MemoryObjectStore implements ObjectStore {
   readonly faults = new MemoryFaults();
 
--- a/packages/platform/src/memory/memory-table.ts
+++ b/packages/platform/src/memory/memory-table.ts
@@ -1,4 +1,4 @@
-/** A table in memory, for tests and benches, with the semantics of the platform's. */
+/** In-memory table for tests and benchmarks, with the semantics of the platform's table service. */
 import { randomUUID } from 'node:crypto';
 import {
   ProblemError,
@@ -12,7 +12,7 @@
 import { validateWrites } from '../table/validate-writes.js';
 import { RowStore } from '../table/row-store.js';
 
-/** Table in memory with switchable faults. Several tables may share one store, as clients of one service. */
+/** Several tables may share one store, as clients of one service do. Tests inject failures by `faults`. */
 export class MemoryTable implements Table {
   readonly faults = new MemoryFaults();
 
@@ -35,9 +35,12 @@
   async write(writes: RowWrite[]): Promise<WriteResult> {
     validateWrites(writes);
     const result = await this.faults.write(() => this.store.write(randomUUID(), writes));
-    if (result.outcome !== 'barred') return result;
+    if (result.outcome !== 'cancelled') return result;
     throw new ProblemError(
-      problem('internal', { detail: 'A new write id was barred.', remedy: 'Report it.' }),
+      problem('internal', {
+        detail: 'A write with a new id was cancelled.',
+        remedy: 'Report this as a bug.',
+      }),
     );
   }
 }
--- a/packages/platform/src/table/row-store.feature
+++ b/packages/platform/src/table/row-store.feature
@@ -6,30 +6,30 @@
   Scenario: a transaction with one stale version changes nothing
     When the row store is written "w1" with "a@0=1"
     And the row store is written "w2" with "b@0=1 a@7=2"
-    Then the row store answers "conflict"
+    Then the row store returns "conflict"
     And the row store holds "a"
 
-  Scenario: a repeated write id gets its first answer and changes nothing
+  Scenario: a repeated write id gets its first outcome and changes nothing
     When the row store is written "w1" with "a@0=1"
     And the row store is written "w1" with "a@0=1"
-    Then the row store answers "written"
+    Then the row store returns "written"
     And the row store has "a" at version 1
 
-  Scenario: a write that met a conflict never takes effect later
+  Scenario: a write that conflicted never takes effect later
     When the row store is written "w1" with "a@0=1"
     And the row store is written "w2" with "a@0=2"
     And the row store is written "w3" with "a@1=null"
     And the row store is written "w2" with "a@0=2"
-    Then the row store answers "conflict"
+    Then the row store returns "conflict"
     And the row store holds ""
 
-  Scenario: asking about a write that hasn't arrived bars it
-    When the row store is asked about "w1"
+  Scenario: querying the outcome of a write that hasn't arrived cancels it
+    When the row store is queried for the outcome of "w1"
     And the row store is written "w1" with "a@0=1"
-    Then the row store answers "barred"
+    Then the row store returns "cancelled"
     And the row store holds ""
 
-  Scenario: a row made again doesn't repeat a version
+  Scenario: a recreated row doesn't repeat a version
     When the row store is written "w1" with "a@0=1"
     And the row store is written "w2" with "a@1=null"
     And the row store is written "w3" with "a@0=1"
--- a/packages/platform/src/table/row-store.steps.ts
+++ b/packages/platform/src/table/row-store.steps.ts
@@ -5,10 +5,10 @@
 
 interface RowStoreWorld {
   rows: RowStore;
-  outcome: WriteOutcome;
+  result: WriteOutcome;
 }
 
-/** Reads `key@ifVersion=value` parts. */
+/** Parses `key@ifVersion=value` items, separated by spaces. */
 function parseWrites(text: string): RowWrite[] {
   return text.split(' ').map((part) => {
     const [, key, ifVersion, value] = /^(.+)@(\d+)=(.+)$/.exec(part)!;
@@ -23,21 +23,24 @@
 When(
   'the row store is written {string} with {string}',
   function (this: RowStoreWorld, writeId: string, writes: string) {
-    this.outcome = this.rows.write(writeId, parseWrites(writes));
+    this.result = this.rows.write(writeId, parseWrites(writes));
   },
 );
 
-When('the row store is asked about {string}', function (this: RowStoreWorld, writeId: string) {
-  this.outcome = this.rows.resolveOutcome(writeId);
-});
+When(
+  'the row store is queried for the outcome of {string}',
+  function (this: RowStoreWorld, writeId: string) {
+    this.result = this.rows.resolveOutcome(writeId);
+  },
+);
 
-Then('the row store answers {string}', function (this: RowStoreWorld, outcome: string) {
-  assert.equal(this.outcome.outcome, outcome);
+Then('the row store returns {string}', function (this: RowStoreWorld, outcome: string) {
+  assert.equal(this.result.outcome, outcome);
 });
 
 Then('the row store holds {string}', function (this: RowStoreWorld, keys: string) {
-  const held = this.rows.scan('').map(({ key }) => key);
-  assert.equal(held.join(','), keys);
+  const storedKeys = this.rows.scan('').map(({ key }) => key);
+  assert.equal(storedKeys.join(','), keys);
 });
 
 Then(
--- a/packages/platform/src/table/row-store.ts
+++ b/packages/platform/src/table/row-store.ts
@@ -1,13 +1,13 @@
-/** Rows and transactions in memory, with the guarantees that the platform's table service gives. */
+/** In-memory rows and transactions, with the guarantees of the platform's table service. */
 import type { Row, RowWrite, WriteResult } from '@zincspan/core';
 
-/** What a write id stands for once it is settled. `barred`: asked about before it arrived. */
-export type WriteOutcome = WriteResult | { outcome: 'barred' };
+/** Final outcome of a write id. `cancelled`: the outcome was queried before the write arrived. */
+export type WriteOutcome = WriteResult | { outcome: 'cancelled' };
 
-/** Settled write ids that are remembered; at 300 writes a second this is over ten minutes. */
+/** Write ids whose outcomes are kept; at 300 writes a second this is over ten minutes. */
 const MAX_REMEMBERED_WRITES = 200_000;
 
-/** Most rows of one scan. */
+/** Most rows that one scan returns. */
 export const MAX_SCAN_ROWS = 1000;
 
 interface StoredRow {
@@ -16,16 +16,15 @@
   json: string;
 }
 
-/** Rows in key order (by UTF-16 code unit), changed by compare-and-set transactions. */
+/** Rows in key order (by UTF-16 code unit), changed by compare-and-swap transactions. */
 export class RowStore {
   readonly #rows = new Map<string, StoredRow>();
 
-  /** Keys of all rows, in order. */
   readonly #sortedKeys: string[] = [];
 
   readonly #outcomes = new Map<string, WriteOutcome>();
 
-  /** No row that is made again may repeat a version that a deleted one had. */
+  /** New rows continue from this version, so that a recreated row never repeats a version of the deleted one. */
   #highestDeletedVersion = 0;
 
   get size(): number {
@@ -45,21 +44,17 @@
     { after = '', limit = MAX_SCAN_ROWS }: { after?: string; limit?: number } = {},
   ): Row[] {
     const rows: Row[] = [];
-    let index = this.#lowerBound(after < prefix ? prefix : after);
-    if (this.#sortedKeys[index] === after) index += 1;
-    for (
-      ;
-      index < this.#sortedKeys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS);
-      index++
-    ) {
-      const key = this.#sortedKeys[index]!;
+    let i = this.#lowerBound(after < prefix ? prefix : after);
+    if (this.#sortedKeys[i] === after) i += 1;
+    for (; i < this.#sortedKeys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS); i++) {
+      const key = this.#sortedKeys[i]!;
       if (!key.startsWith(prefix)) break;
       rows.push(this.get(key));
     }
     return rows;
   }
 
-  /** Makes all changes or none; the same write id always gets the same answer. */
+  /** Makes all changes or none. Idempotent: a repeated write id gets the outcome of the first call. */
   write(writeId: string, writes: RowWrite[]): WriteOutcome {
     const known = this.#outcomes.get(writeId);
     if (known !== undefined) return known;
@@ -68,11 +63,11 @@
     return result;
   }
 
-  /** What became of a write; one that hasn't arrived is barred, so that it never takes effect. */
+  /** Returns the outcome of a write. One that hasn't arrived is cancelled, so that it never takes effect. */
   resolveOutcome(writeId: string): WriteOutcome {
     const known = this.#outcomes.get(writeId);
     if (known !== undefined) return known;
-    const cancelled: WriteOutcome = { outcome: 'barred' };
+    const cancelled: WriteOutcome = { outcome: 'cancelled' };
     this.#remember(writeId, cancelled);
     return cancelled;
   }
@@ -84,7 +79,7 @@
     return { outcome: 'written', versions: writes.map((write) => this.#applyWrite(write)) };
   }
 
-  /** Makes one change; answers the row's new version, 0 once deleted. */
+  /** Makes one change. Returns the new version of the row, 0 if it is deleted. */
   #applyWrite({ key, value }: RowWrite): number {
     const stored = this.#rows.get(key);
     if (value === null || value === undefined) {
--- a/packages/platform/src/table/validate-writes.ts
+++ b/packages/platform/src/table/validate-writes.ts
@@ -1,4 +1,4 @@
-/** Refuses transactions that the platform would refuse, before they are sent. */
+/** Rejects transactions that the table service would reject, before they are sent. */
 import { ProblemError, problem, transactionSchema, type RowWrite } from '@zincspan/core';
 
 const writesSchema = transactionSchema.shape.writes;
@@ -8,7 +8,7 @@
   const parsed = writesSchema.safeParse(writes);
   if (!parsed.success) throw invalidWrites(parsed.error.issues[0]?.message ?? 'Malformed writes.');
   const keys = new Set(writes.map(({ key }) => key));
-  if (keys.size < writes.length) throw invalidWrites('A row is written twice.');
+  if (keys.size < writes.length) throw invalidWrites('Two writes have the same key.');
 }
 
 function invalidWrites(detail: string): ProblemError {
