--- a/packages/entry/src/owner/recovery.steps.ts
+++ b/packages/entry/src/owner/recovery.steps.ts
@@ -16,7 +16,7 @@
   async function (this: OwnerSteps, count: string, lost: string | null) {
     await setUpOwner(this, '', { start: false });
     for (let i = 1; i < Number(count); i += 1) this.addEntry(`entry-${i}`);
-    if (lost !== null) this.entryOf('entry-a').table.faults.loseAnswers = 1;
+    if (lost !== null) this.entryOf('entry-a').table.faults.responsesToLose = 1;
     await Promise.all([...this.ownerEntries.values()].map((entry) => entry.app.start?.()));
   },
 );
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of the platform's table service and object store, and in-memory ones for tests. */
+/** Clients of the platform's table service and object store, and in-memory implementations for tests. */
 export * from './table/row-store.js';
 export * from './memory/memory-faults.js';
 export * from './memory/memory-table.js';
@@ -6,4 +6,4 @@
 export * from './http/store-options.js';
 export * from './http/http-table.js';
 export * from './http/http-object-store.js';
-export * from './http/watch-sent.js';
+export * from './http/connection-tracker.js';
--- a/packages/platform/src/memory/memory-faults.ts
+++ b/packages/platform/src/memory/memory-faults.ts
@@ -1,45 +1,47 @@
-/** Faults that tests switch on in the in-memory table and object store. */
+/** Faults that tests inject into the in-memory table and object store. */
 import { ProblemError } from '@zincspan/core';
-import { pause } from '../http/backoff.js';
-import { storeUnavailable } from '../http/store-problem.js';
+import { sleep } from '../http/backoff.js';
+import { storeUnavailable } from '../http/store-unavailable.js';
 
-/** Faults in force. Counts go down with each write that they hit. */
+/** Active faults. Each write that a counted fault affects decrements its count. */
 export class MemoryFaults {
-  /** Every call is refused at once; writes surely don't take effect. */
+  /** Every call is rejected, and writes don't take effect. */
   down = false;
 
-  /** Every call takes this long, in ms. */
-  slowMs = 0;
+  /** Delay of every call. */
+  latencyMs = 0;
 
-  /** The next writes take effect, but reject with `unknown`. */
-  loseAnswers = 0;
+  /** How many of the next writes take effect, but reject with `unknown`. */
+  responsesToLose = 0;
 
-  /** The next writes never take effect, but reject with `unknown`. */
-  loseWrites = 0;
+  /** How many of the next writes reject with `unknown` and never take effect. */
+  writesToLose = 0;
 
-  /** Lets a call through, late if slow. Rejects with `store-unavailable` if down. */
-  async pass(): Promise<void> {
-    if (this.slowMs > 0) await pause(this.slowMs);
+  /** Delays a call by `latencyMs`. Rejects with `store-unavailable` while `down` is set. */
+  async beforeCall(): Promise<void> {
+    if (this.latencyMs > 0) await sleep(this.latencyMs);
     if (!this.down) return;
-    throw new ProblemError(storeUnavailable({ detail: 'The store is down.', ran: 'not-run' }));
+    throw new ProblemError(
+      storeUnavailable({ detail: 'The store is unavailable.', ran: 'not-run' }),
+    );
   }
 
-  /** Makes a write. Rejects with `store-unavailable` if a fault hits it. */
-  async write<T>(effect: () => T): Promise<T> {
-    await this.pass();
-    if (this.loseWrites > 0) {
-      this.loseWrites -= 1;
-      throw lostAnswer();
+  /** Makes a write. Rejects with `store-unavailable` if a fault affects it. */
+  async write<T>(applyWrite: () => T): Promise<T> {
+    await this.beforeCall();
+    if (this.writesToLose > 0) {
+      this.writesToLose -= 1;
+      throw lostResponse();
     }
-    const result = effect();
-    if (this.loseAnswers === 0) return result;
-    this.loseAnswers -= 1;
-    throw lostAnswer();
+    const result = applyWrite();
+    if (this.responsesToLose === 0) return result;
+    this.responsesToLose -= 1;
+    throw lostResponse();
   }
 }
 
-function lostAnswer(): ProblemError {
+function lostResponse(): ProblemError {
   return new ProblemError(
-    storeUnavailable({ detail: 'The answer to a write was lost.', ran: 'unknown' }),
+    storeUnavailable({ detail: 'The response to a write was lost.', ran: 'unknown' }),
   );
 }
--- a/packages/platform/src/table/row-store.ts
+++ b/packages/platform/src/table/row-store.ts
@@ -1,13 +1,13 @@
-/** Rows and transactions in memory, with the guarantees that the platform's table service gives. */
+/** In-memory rows and transactions, with the guarantees of the platform's table service. */
 import type { Row, RowWrite, WriteResult } from '@zincspan/core';
 
-/** What a write id stands for once it is settled. `barred`: asked about before it arrived. */
-export type SettledWrite = WriteResult | { outcome: 'barred' };
+/** Final outcome of a write id. `cancelled`: the outcome was queried before the write arrived. */
+export type WriteOutcome = WriteResult | { outcome: 'cancelled' };
 
-/** Settled write ids that are remembered; at 300 writes a second this is over ten minutes. */
-const REMEMBERED_WRITES = 200_000;
+/** Write ids whose outcomes are kept; at 300 writes a second this is over ten minutes. */
+const MAX_REMEMBERED_WRITES = 200_000;
 
-/** Most rows of one scan. */
+/** Most rows that one scan returns. */
 export const MAX_SCAN_ROWS = 1000;
 
 interface StoredRow {
@@ -16,17 +16,16 @@
   json: string;
 }
 
-/** Rows in key order (by UTF-16 code unit), changed by compare-and-set transactions. */
+/** Rows in key order (by UTF-16 code unit), changed by compare-and-swap transactions. */
 export class RowStore {
   readonly #rows = new Map<string, StoredRow>();
 
-  /** Keys of all rows, in order. */
-  readonly #keys: string[] = [];
+  readonly #sortedKeys: string[] = [];
 
-  readonly #settled = new Map<string, SettledWrite>();
+  readonly #outcomes = new Map<string, WriteOutcome>();
 
-  /** No row that is made again may repeat a version that a deleted one had. */
-  #deletedVersion = 0;
+  /** New rows continue from this version, so that a recreated row never repeats a version of the deleted one. */
+  #highestDeletedVersion = 0;
 
   get size(): number {
     return this.#rows.size;
@@ -45,74 +44,74 @@
     { after = '', limit = MAX_SCAN_ROWS }: { after?: string; limit?: number } = {},
   ): Row[] {
     const rows: Row[] = [];
-    let at = this.#position(after < prefix ? prefix : after);
-    if (this.#keys[at] === after) at += 1;
-    for (; at < this.#keys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS); at++) {
-      const key = this.#keys[at]!;
+    let i = this.#lowerBound(after < prefix ? prefix : after);
+    if (this.#sortedKeys[i] === after) i += 1;
+    for (; i < this.#sortedKeys.length && rows.length < Math.min(limit, MAX_SCAN_ROWS); i++) {
+      const key = this.#sortedKeys[i]!;
       if (!key.startsWith(prefix)) break;
       rows.push(this.get(key));
     }
     return rows;
   }
 
-  /** Makes all changes or none; the same write id always gets the same answer. */
-  write(writeId: string, writes: RowWrite[]): SettledWrite {
-    const earlier = this.#settled.get(writeId);
-    if (earlier !== undefined) return earlier;
+  /** Makes all changes or none. Idempotent: a repeated write id gets the outcome of the first call. */
+  write(writeId: string, writes: RowWrite[]): WriteOutcome {
+    const known = this.#outcomes.get(writeId);
+    if (known !== undefined) return known;
     const result = this.#apply(writes);
     this.#remember(writeId, result);
     return result;
   }
 
-  /** What became of a write; one that hasn't arrived is barred, so that it never takes effect. */
-  settle(writeId: string): SettledWrite {
-    const earlier = this.#settled.get(writeId);
-    if (earlier !== undefined) return earlier;
-    const barred: SettledWrite = { outcome: 'barred' };
-    this.#remember(writeId, barred);
-    return barred;
+  /** Returns the outcome of a write. One that hasn't arrived is cancelled, so that it never takes effect. */
+  resolveOutcome(writeId: string): WriteOutcome {
+    const known = this.#outcomes.get(writeId);
+    if (known !== undefined) return known;
+    const cancelled: WriteOutcome = { outcome: 'cancelled' };
+    this.#remember(writeId, cancelled);
+    return cancelled;
   }
 
   #apply(writes: RowWrite[]): WriteResult {
     const rows = writes.map(({ key }) => this.get(key));
     const stale = writes.some(({ ifVersion }, i) => rows[i]!.version !== ifVersion);
     if (stale) return { outcome: 'conflict', rows };
-    return { outcome: 'written', versions: writes.map((write) => this.#change(write)) };
+    return { outcome: 'written', versions: writes.map((write) => this.#applyWrite(write)) };
   }
 
-  /** Makes one change; answers the row's new version, 0 once deleted. */
-  #change({ key, value }: RowWrite): number {
+  /** Makes one change. Returns the new version of the row, 0 if it is deleted. */
+  #applyWrite({ key, value }: RowWrite): number {
     const stored = this.#rows.get(key);
     if (value === null || value === undefined) {
       if (stored !== undefined) this.#delete(key, stored);
       return 0;
     }
-    const version = (stored?.version ?? this.#deletedVersion) + 1;
-    if (stored === undefined) this.#keys.splice(this.#position(key), 0, key);
+    const version = (stored?.version ?? this.#highestDeletedVersion) + 1;
+    if (stored === undefined) this.#sortedKeys.splice(this.#lowerBound(key), 0, key);
     this.#rows.set(key, { version, json: JSON.stringify(value) });
     return version;
   }
 
   #delete(key: string, stored: StoredRow): void {
-    this.#deletedVersion = Math.max(this.#deletedVersion, stored.version);
+    this.#highestDeletedVersion = Math.max(this.#highestDeletedVersion, stored.version);
     this.#rows.delete(key);
-    this.#keys.splice(this.#position(key), 1);
+    this.#sortedKeys.splice(this.#lowerBound(key), 1);
   }
 
-  #remember(writeId: string, result: SettledWrite): void {
-    this.#settled.set(writeId, result);
-    if (this.#settled.size <= REMEMBERED_WRITES) return;
-    const oldest = this.#settled.keys().next().value;
-    if (oldest !== undefined) this.#settled.delete(oldest);
+  #remember(writeId: string, result: WriteOutcome): void {
+    this.#outcomes.set(writeId, result);
+    if (this.#outcomes.size <= MAX_REMEMBERED_WRITES) return;
+    const oldest = this.#outcomes.keys().next().value;
+    if (oldest !== undefined) this.#outcomes.delete(oldest);
   }
 
   /** Index of the first key that isn't before `key`. */
-  #position(key: string): number {
+  #lowerBound(key: string): number {
     let low = 0;
-    let high = this.#keys.length;
+    let high = this.#sortedKeys.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if (this.#keys[middle]! < key) low = middle + 1;
+      if (this.#sortedKeys[middle]! < key) low = middle + 1;
       else high = middle;
     }
     return low;
--- a/packages/platform/src/table/check-writes.ts
+++ b/packages/platform/src/table/validate-writes.ts
@@ -1,17 +1,17 @@
-/** Refuses transactions that the platform would refuse, before they are sent. */
+/** Rejects transactions that the table service would reject, before they are sent. */
 import { ProblemError, problem, transactionSchema, type RowWrite } from '@zincspan/core';
 
 const writesSchema = transactionSchema.shape.writes;
 
 /** Throws ProblemError `bad-input` for too many writes, a bad key, or two writes of one row. */
-export function checkWrites(writes: RowWrite[]): void {
+export function validateWrites(writes: RowWrite[]): void {
   const parsed = writesSchema.safeParse(writes);
-  if (!parsed.success) throw badWrites(parsed.error.issues[0]?.message ?? 'Malformed writes.');
+  if (!parsed.success) throw invalidWrites(parsed.error.issues[0]?.message ?? 'Malformed writes.');
   const keys = new Set(writes.map(({ key }) => key));
-  if (keys.size < writes.length) throw badWrites('A row is written twice.');
+  if (keys.size < writes.length) throw invalidWrites('Two writes have the same key.');
 }
 
-function badWrites(detail: string): ProblemError {
+function invalidWrites(detail: string): ProblemError {
   return new ProblemError(
     problem('bad-input', {
       detail: `The transaction was not sent: ${detail}`,
