--- a/packages/cell/src/advice/advice.steps.ts
+++ b/packages/cell/src/advice/advice.steps.ts
@@ -6,7 +6,7 @@
 import {
   TestCell,
   eventually,
-  submitJob,
+  submitToEntry,
   crashEntryAtProgressWrite,
 } from '../testing/test-cell.support.js';
 import { TEST_QUEUE, testStep } from '../testing/test-jobs.support.js';
@@ -40,7 +40,10 @@
 ): Promise<void> {
   const id = cellOf(world).newJobId();
   Object.assign(world, { job: id });
-  assert.equal(await submitJob(entryOf(world), id, { steps: [testStep(step)], spec }), 'accepted');
+  assert.equal(
+    await submitToEntry(entryOf(world), id, { steps: [testStep(step)], spec }),
+    'accepted',
+  );
 }
 
 Given(
--- a/packages/cell/src/entry/slow-store.steps.ts
+++ b/packages/cell/src/entry/slow-store.steps.ts
@@ -11,7 +11,7 @@
   type CellTestContext,
 } from '../owner/cell-test-context.support.js';
 import { OWNER_ROW_KEY } from '../owner/owner-row.js';
-import { crashEntry, submitJob } from '../testing/test-cell.support.js';
+import { crashEntry, submitToEntry } from '../testing/test-cell.support.js';
 import { sameRow, type Transaction } from '../store/row-store.js';
 
 interface SlowStoreWorld extends CellTestContext {
@@ -55,7 +55,7 @@
       const id = cellOf(this).newJobId();
       this.jobs.push(id);
       const at = performance.now();
-      assert.equal(await submitJob(entry, id, { spec: { workMs: 100 } }), 'accepted');
+      assert.equal(await submitToEntry(entry, id, { spec: { workMs: 100 } }), 'accepted');
       this.submissions.set(id, { at, tookMs: performance.now() - at });
     });
     await Promise.all(accepted);
@@ -66,7 +66,7 @@
   const { entries } = cellOf(this);
   const id = cellOf(this).newJobId();
   this.jobs.push(id);
-  const outcomes = await Promise.all(entries.map((entry) => submitJob(entry, id)));
+  const outcomes = await Promise.all(entries.map((entry) => submitToEntry(entry, id)));
   assert.deepEqual(
     outcomes,
     entries.map(() => 'accepted'),
@@ -82,7 +82,7 @@
     if (what === 'is lost') crashEntry(owner);
     const id = cellOf(this).newJobId();
     this.jobs.push(id);
-    assert.equal(await submitJob(other, id, { spec: { workMs: 100 } }), 'accepted');
+    assert.equal(await submitToEntry(other, id, { spec: { workMs: 100 } }), 'accepted');
   },
 );
 
--- a/packages/cell/src/owner/cell-faults.steps.ts
+++ b/packages/cell/src/owner/cell-faults.steps.ts
@@ -5,7 +5,7 @@
   TestCell,
   jobCall,
   eventually,
-  submitJob,
+  submitToEntry,
   crashEntry,
   crashEntryAtProgressWrite,
 } from '../testing/test-cell.support.js';
@@ -117,7 +117,7 @@
   const cell = cellOf(this);
   cell.configure({ queues: [{ ...TEST_QUEUE, needsAdvice: true }] });
   const isRefused = async () =>
-    (await submitJob(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
+    (await submitToEntry(nonOwnerEntry(this), cell.newJobId())) === 'not-accepted';
   assert.ok(await eventually(isRefused, 2000));
 });
 
@@ -183,7 +183,7 @@
   const cell = cellOf(this);
   const cutOff = cell.entries.find(({ store }) => store.fault !== 'none');
   assert.ok(cutOff);
-  assert.equal(await submitJob(cutOff, cell.newJobId()), 'accepted');
+  assert.equal(await submitToEntry(cutOff, cell.newJobId()), 'accepted');
 });
 
 Given('the answers to forwarded calls are lost', function (this: CellTestContext) {
@@ -205,7 +205,7 @@
     assert.ok(cutOff);
     const id = cell.newJobId();
     this.jobs.push(id);
-    assert.equal(await submitJob(cutOff, id), expected);
+    assert.equal(await submitToEntry(cutOff, id), expected);
   },
 );
 
--- a/packages/cell/src/owner/cell-test-context.support.ts
+++ b/packages/cell/src/owner/cell-test-context.support.ts
@@ -1,7 +1,7 @@
 /** State and helpers of the steps about a cell. */
 import assert from 'node:assert/strict';
 import type { JobRequest, Step } from '../job/submission.js';
-import { TestCell, eventually, submitJob } from '../testing/test-cell.support.js';
+import { TestCell, eventually, submitToEntry } from '../testing/test-cell.support.js';
 
 /** State that the steps of a scenario share. */
 export interface CellTestContext {
@@ -60,7 +60,7 @@
   const id = cell.newJobId();
   world.jobs.push(id);
   const { entry = nonOwnerEntry(world), ...job } = options;
-  assert.equal(await submitJob(entry, id, job), 'accepted');
+  assert.equal(await submitToEntry(entry, id, job), 'accepted');
 }
 
 /** Waits until a task is running. */
--- a/packages/cell/src/owner/cell.steps.ts
+++ b/packages/cell/src/owner/cell.steps.ts
@@ -3,7 +3,7 @@
 import { MAX_CLOCK_SLOWDOWN } from '../clock/lease-margin.js';
 import { sleep } from '../clock/sleep.js';
 import type { Step } from '../job/submission.js';
-import { TestCell, jobCall, eventually, submitJob } from '../testing/test-cell.support.js';
+import { TestCell, jobCall, eventually, submitToEntry } from '../testing/test-cell.support.js';
 import { TEST_LEASE_MS } from '../testing/test-worker.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import {
@@ -125,7 +125,7 @@
   const cell = cellOf(this);
   const id = cell.newJobId();
   this.jobs.push(id);
-  const outcomes = await Promise.all(cell.entries.map((entry) => submitJob(entry, id)));
+  const outcomes = await Promise.all(cell.entries.map((entry) => submitToEntry(entry, id)));
   assert.deepEqual(outcomes, ['accepted', 'accepted']);
 });
 
@@ -135,10 +135,10 @@
     const cell = cellOf(this);
     const id = cell.newJobId();
     this.jobs.push(id);
-    const first = await submitJob(nonOwnerEntry(this), id);
+    const first = await submitToEntry(nonOwnerEntry(this), id);
     assert.ok(['unknown', 'accepted'].includes(first));
     nonOwnerEntry(this).store.fault = 'none';
-    assert.equal(await submitJob(ownerEntry(this), id), 'accepted');
+    assert.equal(await submitToEntry(ownerEntry(this), id), 'accepted');
   },
 );
 
@@ -167,7 +167,7 @@
 });
 
 Then('a submitted job is refused as not accepted', async function (this: CellTestContext) {
-  assert.equal(await submitJob(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
+  assert.equal(await submitToEntry(nonOwnerEntry(this), cellOf(this).newJobId()), 'not-accepted');
 });
 
 Then('it fails', async function (this: CellTestContext) {
@@ -243,7 +243,7 @@
   'a job with that key is refused there as not authenticated',
   async function (this: CellTestContext) {
     const cell = cellOf(this);
-    assert.equal(await submitJob(nonOwnerEntry(this), cell.newJobId()), 'not-authenticated');
+    assert.equal(await submitToEntry(nonOwnerEntry(this), cell.newJobId()), 'not-authenticated');
   },
 );
 
@@ -252,7 +252,7 @@
   async function (this: CellTestContext, limitMs: number) {
     const cell = cellOf(this);
     const startedAt = performance.now();
-    assert.equal(await submitJob(nonOwnerEntry(this), cell.newJobId()), 'not-accepted');
+    assert.equal(await submitToEntry(nonOwnerEntry(this), cell.newJobId()), 'not-accepted');
     assert.ok(performance.now() - startedAt < limitMs);
   },
 );
--- a/packages/cell/src/pacing/pacing.steps.ts
+++ b/packages/cell/src/pacing/pacing.steps.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { After, Given, Then, When } from '@cucumber/cucumber';
-import { TestCell, eventually, submitJob } from '../testing/test-cell.support.js';
+import { TestCell, eventually, submitToEntry } from '../testing/test-cell.support.js';
 import { testStep } from '../testing/test-jobs.support.js';
 import type { Step } from '../job/submission.js';
 import { PaceController } from './pace-controller.js';
@@ -41,7 +41,7 @@
   const [entry] = cell.entries;
   assert.ok(entry);
   const id = cell.newJobId();
-  assert.equal(await submitJob(entry, id, { steps: [testStep(step)], spec }), 'accepted');
+  assert.equal(await submitToEntry(entry, id, { steps: [testStep(step)], spec }), 'accepted');
   const isRunning = (): boolean => cell.starts(id).length > 0;
   assert.ok(await eventually(isRunning));
   return id;
--- a/packages/cell/src/testing/test-cell.support.ts
+++ b/packages/cell/src/testing/test-cell.support.ts
@@ -350,7 +350,7 @@
 }
 
 /** Submits a job to an entry; returns the outcome. */
-export async function submitJob(
+export async function submitToEntry(
   entry: TestEntry,
   id: string,
   {
