--- a/packages/bench/src/cell/simulated-cell.ts
+++ b/packages/bench/src/cell/simulated-cell.ts
@@ -216,12 +216,12 @@
   }
 
   #contact(worker: SimulatedWorker): void {
-    const { book } = this.#scheduler;
+    const { registry } = this.#scheduler;
     this.#contactAt.set(worker.vm, this.#now + CONTACT_EVERY_MS);
-    const known = book.fleet.get(worker.vm);
+    const known = registry.fleet.get(worker.vm);
     const contact = worker.contact(this.#now);
-    applyContact(book, known, contact);
-    const orders = ordersFor(book, known, contact);
+    applyContact(registry, known, contact);
+    const orders = ordersFor(registry, known, contact);
     known.grantLease(this.#now, LEASE_MS);
     worker.confirm(orders.confirmedEnd);
     orders.stops.forEach((run) => worker.stop(run, this.#now));
@@ -237,7 +237,7 @@
   #noteDone(ends: readonly { task: string }[]): void {
     ends.forEach(({ task }) => {
       const id = parseTaskName(task)?.jobId ?? '';
-      const job = this.#scheduler.book.jobs.get(id);
+      const job = this.#scheduler.registry.jobs.get(id);
       if (job?.progress.outcome === 'completed' && !this.#doneAt.has(id)) {
         this.#doneAt.set(id, this.#now);
       }
@@ -253,7 +253,7 @@
       job.markWritten(job.lastChange, this.#version);
     });
     const ids = new Set(dirty.map(({ id }) => id));
-    this.#scheduler.book.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#news.add(vm));
+    this.#scheduler.registry.fleet.workersOfJobs(ids).forEach(({ vm }) => this.#news.add(vm));
   }
 
   #throwAway(run: SimulatedRun): void {
--- a/packages/cell/src/entry/entry-app.ts
+++ b/packages/cell/src/entry/entry-app.ts
@@ -59,7 +59,7 @@
 
   readonly #admission: CallAdmission;
 
-  readonly #ownership: OwnerElection;
+  readonly #ownerElection: OwnerElection;
 
   readonly #links: LinkServer;
 
@@ -126,7 +126,7 @@
       status: () => this.#heartbeatStatus(),
     });
     this.#successors = new SuccessorList({ links: () => this.#links.links(), clock: ctx.clock });
-    this.#ownership = new OwnerElection({
+    this.#ownerElection = new OwnerElection({
       ctx,
       store,
       self,
@@ -155,13 +155,13 @@
     await this.#links.start();
     this.#config.start();
     this.#peers.start();
-    this.#ownership.start();
+    this.#ownerElection.start();
   }
 
   /** Reports not ready and gives up ownership of the cell. Calls that still arrive are served. */
   async drain(): Promise<void> {
     this.#draining = true;
-    await this.#ownership.stop();
+    await this.#ownerElection.stop();
   }
 
   async stop(): Promise<void> {
@@ -185,9 +185,9 @@
       keepEndedMs,
       config: () => this.#config.current?.config,
       configKey: this.#config.key,
-      confirmedAt: () => this.#ownership.held?.confirmedAt ?? -Infinity,
-      transact: (tx, callOptions) => this.#ownership.transact(tx, callOptions),
-      onOwnershipLost: (reason) => this.#ownership.endOwnership(reason),
+      confirmedAt: () => this.#ownerElection.held?.confirmedAt ?? -Infinity,
+      transact: (tx, callOptions) => this.#ownerElection.transact(tx, callOptions),
+      onOwnershipLost: (reason) => this.#ownerElection.endOwnership(reason),
     });
     this.#owner.start();
   }
--- a/packages/cell/src/evacuation/start-withdrawal.ts
+++ b/packages/cell/src/evacuation/start-withdrawal.ts
@@ -6,26 +6,26 @@
 
 /** Returns how many runs were withdrawn and how many continue there. */
 export function withdrawPendingStarts(
-  book: RunRegistry,
+  registry: RunRegistry,
   failureDomain: string,
 ): { withdrawn: number; running: number } {
-  const workers = [...book.fleet.all()].filter(
+  const workers = [...registry.fleet.all()].filter(
     ({ runner }) => runner?.failureDomain === failureDomain,
   );
   const counts = { withdrawn: 0, running: 0 };
   workers.forEach((worker) =>
     [...worker.assignments.values()].forEach((assignment) => {
       if (assignment.runningAt !== undefined) counts.running += 1;
-      else if (withdraw(book, worker, assignment)) counts.withdrawn += 1;
+      else if (withdraw(registry, worker, assignment)) counts.withdrawn += 1;
     }),
   );
   return counts;
 }
 
-function withdraw(book: RunRegistry, worker: Worker, assignment: Assignment): boolean {
+function withdraw(registry: RunRegistry, worker: Worker, assignment: Assignment): boolean {
   if (assignment.stopping !== undefined) return false;
   // A run that isn't durable was never ordered. It also must not be written any more: that write would fail repeatedly.
-  if (!book.orders.isDurable(assignment)) book.markLost(worker, assignment, REASON);
-  else book.stopRun(assignment, REASON);
+  if (!registry.orders.isDurable(assignment)) registry.markLost(worker, assignment, REASON);
+  else registry.stopRun(assignment, REASON);
   return true;
 }
--- a/packages/cell/src/owner/cell-owner.ts
+++ b/packages/cell/src/owner/cell-owner.ts
@@ -114,9 +114,9 @@
 
   readonly #endedJobSweeper: EndedJobSweeper;
 
-  readonly #evacuationWatch: EvacuationPoller;
+  readonly #evacuationPoller: EvacuationPoller;
 
-  readonly #adviceDesk: ApprovalRequester | undefined;
+  readonly #approvalRequester: ApprovalRequester | undefined;
 
   /** Links to guards, by VM. */
   readonly #guardPeers = new Map<string, Peer>();
@@ -161,14 +161,14 @@
         onOrdersChanged: (vm) => this.#notifyGuard(vm),
       },
     });
-    this.#evacuationWatch = new EvacuationPoller({
+    this.#evacuationPoller = new EvacuationPoller({
       ctx,
       store,
       evacuations,
       onChanges: (changes) => this.#applyEvacuations(changes),
     });
     if (advisor !== undefined) {
-      this.#adviceDesk = new ApprovalRequester({
+      this.#approvalRequester = new ApprovalRequester({
         ctx,
         advisor,
         cache: this.#scheduler.approvals,
@@ -202,19 +202,19 @@
   }
 
   get #registry(): RunRegistry {
-    return this.#scheduler.book;
+    return this.#scheduler.registry;
   }
 
   start(): void {
     this.#jobFollower.start();
-    this.#evacuationWatch.start();
+    this.#evacuationPoller.start();
     this.#endedJobSweeper.start();
   }
 
   stop(): void {
     this.#stopped = true;
     this.#jobFollower.stop();
-    this.#evacuationWatch.stop();
+    this.#evacuationPoller.stop();
     this.#endedJobSweeper.stop();
     this.#progressWriter.stop();
     clearTimeout(this.#passTimer);
@@ -325,8 +325,8 @@
     this.#lastPassAt = startedAt;
     if (this.#unconfirmedMs() > DECISION_MAX_UNCONFIRMED_MS) return;
     try {
-      const questions = this.#scheduler.runPass();
-      this.#adviceDesk?.requestFirst(questions);
+      const approvalRequests = this.#scheduler.runPass();
+      this.#approvalRequester?.requestFirst(approvalRequests);
     } catch (err) {
       this.#options.ctx.metrics.count('pass.failed');
       this.#options.ctx.log.error({ err }, 'placement pass failed');
--- a/packages/cell/src/owner/contact-handler.ts
+++ b/packages/cell/src/owner/contact-handler.ts
@@ -135,8 +135,8 @@
   worker: Worker,
   { running }: CellContact,
 ): PaceOrder[] {
-  const { isActive: isPacing, percent } = worker.paceController;
-  if (!isPacing) return [];
+  const { isActive, percent } = worker.paceController;
+  if (!isActive) return [];
   return running
     .filter((status) => registry.stepOf(assignmentOf(worker, status))?.fills)
     .map(({ task, run }) => ({ task, run, percent }));
--- a/packages/cell/src/owner/fleet.ts
+++ b/packages/cell/src/owner/fleet.ts
@@ -120,7 +120,7 @@
     capacity: runner?.capacity ?? { milliCores: 0, memoryMb: 0, accelerators: 0 },
     penalty: worker.health.recentFaults(now),
     startingJobs: new Set(recentRuns.map(({ jobId }) => jobId)),
-    suspectJob: recentRuns.find(({ isOnProbation: isOnTrial }) => isOnTrial)?.jobId,
+    suspectJob: recentRuns.find(({ isOnProbation }) => isOnProbation)?.jobId,
     isCold: worker.isCold(now),
     isRecentlyRestarted: now - worker.incarnationSince < RECENT_RESTART_MS,
   });
--- a/packages/cell/src/owner/preemptor.ts
+++ b/packages/cell/src/owner/preemptor.ts
@@ -70,22 +70,19 @@
     return withoutPlaced(pending, this.#ledger.reserve(pending.group));
   }
 
-  #mayPreempt(
-    { lastPreemptionAt: madeRoomAt }: OwnedJob,
-    { ageMs, objectiveMs }: UrgencyFactors,
-  ): boolean {
-    return this.#input.now - madeRoomAt >= PREEMPTION_INTERVAL_MS && ageMs <= objectiveMs;
+  #mayPreempt({ lastPreemptionAt }: OwnedJob, { ageMs, objectiveMs }: UrgencyFactors): boolean {
+    return this.#input.now - lastPreemptionAt >= PREEMPTION_INTERVAL_MS && ageMs <= objectiveMs;
   }
 
   /** Capacity may become free by itself before the guaranteed job has to start. */
   #canWait(
     { readySince }: PendingGroup,
-    { ageMs, remainingCriticalPathMs: leftChainMs, objectiveMs }: UrgencyFactors,
+    { ageMs, remainingCriticalPathMs, objectiveMs }: UrgencyFactors,
   ): boolean {
     const { reclaimMs, stopMs } = this.#input.bounds;
     const waitedMs = Math.max(ageMs, this.#input.now - readySince);
     if (waitedMs >= reclaimMs - stopMs - RECLAIM_OVERHEAD_MS) return false;
-    return ageMs + leftChainMs + stopMs < MAX_WAIT_SHARE * objectiveMs;
+    return ageMs + remainingCriticalPathMs + stopMs < MAX_WAIT_SHARE * objectiveMs;
   }
 
   /** A job outside a guarantee preempts only what ranks below it: anything else would take the capacity back at once. */
--- a/packages/cell/src/owner/run-watchdog.ts
+++ b/packages/cell/src/owner/run-watchdog.ts
@@ -23,19 +23,19 @@
  * their last list of runs is outdated: after a crash each run there would count as a fault of the worker, and two faults close
  * it for 5 s or more.
  */
-export function stopStalledRuns(book: RunRegistry): void {
-  const answering = [...book.fleet.all()].filter(({ runner }) => runner?.reachable);
+export function stopStalledRuns(registry: RunRegistry): void {
+  const answering = [...registry.fleet.all()].filter(({ runner }) => runner?.reachable);
   answering.forEach((worker) =>
     worker.assignments.forEach((assignment) => {
       const { jobId, ref, name } = assignment;
-      const job = book.jobs.get(jobId);
+      const job = registry.jobs.get(jobId);
       const step = job?.submission.steps[ref.step];
       if (job === undefined || step === undefined || step.lasting) return;
       const { estimateMs } = step;
       if (!isStalled(assignment, { estimateMs, contactAt: worker.contactAt })) return;
-      job.avoidWorker(ref, worker.vm, book.now());
-      book.recordFault(worker, name, 'run stalled');
-      book.stopRun(assignment, 'run stalled');
+      job.avoidWorker(ref, worker.vm, registry.now());
+      registry.recordFault(worker, name, 'run stalled');
+      registry.stopRun(assignment, 'run stalled');
     }),
   );
 }
@@ -44,33 +44,33 @@
  * Stops runs that would end with their draining runner. Checkpointing and long-running ones are stopped shortly before the runner
  * exits; the others as soon as they are not expected to finish in time, so that they restart elsewhere.
  */
-export function stopRunsBeforeDrainEnds(book: RunRegistry): void {
-  [...book.fleet.all()].forEach((worker) => {
+export function stopRunsBeforeDrainEnds(registry: RunRegistry): void {
+  [...registry.fleet.all()].forEach((worker) => {
     if (!worker.runner?.draining) return;
-    const untilExitMs = worker.drainEndsAt - book.now();
+    const untilExitMs = worker.drainEndsAt - registry.now();
     worker.assignments.forEach((assignment) => {
-      const step = book.jobs.get(assignment.jobId)?.submission.steps[assignment.ref.step];
+      const step = registry.jobs.get(assignment.jobId)?.submission.steps[assignment.ref.step];
       if (step === undefined) return;
       const mayStopLate = step.checkpointing || step.lasting;
       const isDue = mayStopLate
         ? untilExitMs < STOP_BEFORE_EXIT_MS
-        : remainingMs(book, assignment) > untilExitMs;
-      if (isDue) book.stopRun(assignment, 'runner exits soon');
+        : remainingMs(registry, assignment) > untilExitMs;
+      if (isDue) registry.stopRun(assignment, 'runner exits soon');
     });
   });
 }
 
 /** Expected remaining time: extrapolated from the run's own progress once that is known, from the queue's task durations before. */
-function remainingMs(book: RunRegistry, assignment: Assignment): number {
+function remainingMs(registry: RunRegistry, assignment: Assignment): number {
   const { jobId, ref, percent, firstPercent, runningAt, progressAt } = assignment;
-  const job = book.jobs.get(jobId);
+  const job = registry.jobs.get(jobId);
   const step = job?.submission.steps[ref.step];
   if (job === undefined || step === undefined) return 0;
-  if (runningAt === undefined) return book.expectedTaskMs(job, step);
+  if (runningAt === undefined) return registry.expectedTaskMs(job, step);
   const gained = percent - firstPercent;
-  const sinceProgressMs = book.now() - progressAt;
+  const sinceProgressMs = registry.now() - progressAt;
   if (gained < MIN_GAIN_PERCENT || progressAt - runningAt < MIN_OBSERVED_MS) {
-    return Math.max(0, book.expectedTaskMs(job, step) - (book.now() - runningAt));
+    return Math.max(0, registry.expectedTaskMs(job, step) - (registry.now() - runningAt));
   }
   return ((progressAt - runningAt) * (FULL_PERCENT - percent)) / gained - sinceProgressMs;
 }
--- a/packages/cell/src/owner/running-units.steps.ts
+++ b/packages/cell/src/owner/running-units.steps.ts
@@ -11,13 +11,13 @@
 import { noEvacuations } from '../testing/test-evacuations.support.js';
 
 interface RunningUnitSteps {
-  book: RunRegistry;
+  registry: RunRegistry;
 }
 
 const TASKS = 4;
 const FULL_PERCENT = 100;
 
-function newBook(): RunRegistry {
+function newRegistry(): RunRegistry {
   const ctx = quietContext({ id: 'entry-1', role: 'entry' });
   const evacuations = noEvacuations();
   return new RunRegistry({
@@ -42,9 +42,9 @@
         runner: `runner-${index}`,
       })),
     );
-    this.book = newBook();
-    this.book.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
-    this.book.assignmentsOf(submission.id).forEach((assignment) => {
+    this.registry = newRegistry();
+    this.registry.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
+    this.registry.assignmentsOf(submission.id).forEach((assignment) => {
       const isMissing = assignment.ref.index < missing;
       Object.assign(assignment, { percent: isMissing ? 0 : FULL_PERCENT });
     });
@@ -60,9 +60,9 @@
     const progress = new JobProgress(submission);
     const ref = { occurrence: 0, step: 0, index: 0 };
     progress.startRuns([{ ref, vm: 'vm-0', runner: 'runner-0' }]);
-    this.book = newBook();
-    this.book.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
-    const [assignment] = this.book.assignmentsOf(submission.id);
+    this.registry = newRegistry();
+    this.registry.addJob(testOwnedJob(submission, { progress, progressVersion: 1 }));
+    const [assignment] = this.registry.assignmentsOf(submission.id);
     assert.ok(assignment);
     assignment.assignedAt -= Number(seconds) * 1000;
   },
@@ -71,14 +71,14 @@
 Then(
   /^stopping it loses ([\d.]+) accelerator-seconds$/,
   function (this: RunningUnitSteps, expected: string) {
-    const [unit] = findRunningUnits(this.book, new Set());
+    const [unit] = findRunningUnits(this.registry, new Set());
     assert.ok(unit);
     assert.ok(Math.abs(unit.loss / 1000 - Number(expected)) < 0.2, `${unit.loss}`);
   },
 );
 
 Then('{int} of its tasks may be preempted', function (this: RunningUnitSteps, expected: number) {
-  const units = findRunningUnits(this.book, new Set());
+  const units = findRunningUnits(this.registry, new Set());
   const preemptible = units
     .filter(({ isProtected }) => !isProtected)
     .flatMap(({ assignments }) => assignments)
--- a/packages/cell/src/owner/running-units.ts
+++ b/packages/cell/src/owner/running-units.ts
@@ -23,21 +23,21 @@
 
 /** Units of all workers. Those of guaranteed jobs are protected from preemption. */
 export function findRunningUnits(
-  book: RunRegistry,
+  registry: RunRegistry,
   guaranteedJobs: ReadonlySet<OwnedJob>,
 ): RunningUnit[] {
   const units = new Map<string, UnitInProgress>();
-  const now = book.now();
-  [...book.fleet.all()].forEach(({ vm, assignments }) =>
+  const now = registry.now();
+  [...registry.fleet.all()].forEach(({ vm, assignments }) =>
     assignments.forEach((assignment) => {
-      const job = book.jobs.get(assignment.jobId);
+      const job = registry.jobs.get(assignment.jobId);
       const step = job?.submission.steps[assignment.ref.step];
       if (job === undefined || step === undefined) return;
       const key = step.gang ? gangKey(assignment) : assignment.name;
       const existing = units.get(key);
       const unit =
         existing ??
-        newUnit(key, job, guaranteedJobs.has(job) || !isPreemptible(book, job, assignment));
+        newUnit(key, job, guaranteedJobs.has(job) || !isPreemptible(registry, job, assignment));
       if (existing === undefined) units.set(key, unit);
       // Mutated in place: copying the unit for each member would be quadratic in the width of a gang.
       unit.members.push({ vm, demand: assignment.demand });
@@ -53,10 +53,10 @@
  * Whether a long-running task may be preempted: the scheduler may keep at most `mayMiss` tasks of its step from running. Only the
  * first running tasks of the step qualify, so that one pass never preempts more than that.
  */
-function isPreemptible(book: RunRegistry, job: OwnedJob, { ref }: Assignment): boolean {
+function isPreemptible(registry: RunRegistry, job: OwnedJob, { ref }: Assignment): boolean {
   const step = job.submission.steps[ref.step];
   if (!step?.lasting || step.mayMiss === 0) return true;
-  const running = book
+  const running = registry
     .assignmentsOf(job.id)
     .filter((other) => isSameStep(other, ref) && isRunning(other))
     .map((other) => other.ref.index)
--- a/packages/cell/src/owner/scheduler.ts
+++ b/packages/cell/src/owner/scheduler.ts
@@ -44,7 +44,7 @@
 
 /** Jobs, workers and what has been learned about both, for one ownership term. */
 export class Scheduler {
-  readonly book: RunRegistry;
+  readonly registry: RunRegistry;
 
   readonly approvals = new ApprovalCache();
 
@@ -62,7 +62,7 @@
     this.#options = options;
     const { ctx, leaseMs, previousOwnerGrantMs, evacuations, events } = options;
     this.#startedAt = ctx.clock.now();
-    this.book = new RunRegistry({
+    this.registry = new RunRegistry({
       ctx,
       advice: this.approvals,
       durations: this.#durations,
@@ -85,10 +85,10 @@
     );
     const expectedMs = expectedDurations(job, this.#durations);
     this.#queueMeans.record(submission.queue, totalWork(submission.steps, expectedMs));
-    this.book.addJob(job);
+    this.registry.addJob(job);
     if (job.progress.begun) return;
     const { account, queue, acceptedAtMs, steps } = submission;
-    this.book.log('job added to scheduler', {
+    this.registry.log('job added to scheduler', {
       job: job.id,
       account,
       queue,
@@ -106,39 +106,39 @@
 
   /** Runs one scheduling pass. Returns the requests to the placement advisor, the most urgent first. */
   runPass(): ApprovalRequest[] {
-    this.book.markUnreachableLost();
-    stopStalledRuns(this.book);
-    stopRunsBeforeDrainEnds(this.book);
+    this.registry.markUnreachableLost();
+    stopStalledRuns(this.registry);
+    stopRunsBeforeDrainEnds(this.registry);
     // Repeated in each pass for workers that were out of contact at the evacuation, such as after a change of owner.
     this.#options.evacuations.evacuatedDomains.forEach((failureDomain) =>
-      withdrawPendingStarts(this.book, failureDomain),
+      withdrawPendingStarts(this.registry, failureDomain),
     );
-    this.book.persistCheckpoints();
-    this.book.openDueOccurrences(this.#options.ctx.clock.wall());
+    this.registry.persistCheckpoints();
+    this.registry.openDueOccurrences(this.#options.ctx.clock.wall());
     this.#refreshQueueTerms();
     const requests = this.#runPlacement();
-    this.#waitingReport.logIfDue(this.book);
-    this.book.dropEndedJobs();
-    this.approvals.retainJobs((jobId) => this.book.jobs.has(jobId));
+    this.#waitingReport.logIfDue(this.registry);
+    this.registry.dropEndedJobs();
+    this.approvals.retainJobs((jobId) => this.registry.jobs.has(jobId));
     return requests;
   }
 
   #applyEvacuation({ failureDomain, isEvacuated, version }: EvacuationChange): void {
     const { ctx, evacuations } = this.#options;
-    const knownForMs = Math.round(evacuations.ageMs(this.book.now()));
+    const knownForMs = Math.round(evacuations.ageMs(this.registry.now()));
     ctx.metrics.gauge(`evacuated.${failureDomain}`, isEvacuated ? 1 : 0);
     if (!isEvacuated) {
-      this.book.log('failure domain reopened', { failureDomain, version, knownForMs });
+      this.registry.log('failure domain reopened', { failureDomain, version, knownForMs });
       return;
     }
-    this.book.jobs.forEach((job) => job.dropPendingStarts(failureDomain));
-    const runs = withdrawPendingStarts(this.book, failureDomain);
-    this.book.log('failure domain evacuated', { failureDomain, version, knownForMs, ...runs });
+    this.registry.jobs.forEach((job) => job.dropPendingStarts(failureDomain));
+    const runs = withdrawPendingStarts(this.registry, failureDomain);
+    this.registry.log('failure domain evacuated', { failureDomain, version, knownForMs, ...runs });
   }
 
   #refreshQueueTerms(): void {
     const queues = new Map(this.#options.config()?.queues.map((queue) => [queue.name, queue]));
-    this.book.jobs.forEach((job) => {
+    this.registry.jobs.forEach((job) => {
       const queue = queues.get(job.submission.queue);
       if (queue !== undefined) job.setTerms(queue);
     });
@@ -146,7 +146,7 @@
 
   #runPlacement(): ApprovalRequest[] {
     const { config, reclaim, ctx } = this.#options;
-    const jobs = [...this.book.jobs.values()];
+    const jobs = [...this.registry.jobs.values()];
     const guarantees = new Map(
       config()?.accounts.map(({ name, guaranteedAccelerators }) => [name, guaranteedAccelerators]),
     );
@@ -154,22 +154,22 @@
     const { starts, preemptions, approvalRequests } = planPlacement({
       jobs,
       guaranteedJobs,
-      workers: this.book.fleet.availableWorkers(),
-      evacuatedRacks: this.book.fleet.evacuatedRacks(),
-      runningUnits: findRunningUnits(this.book, guaranteedJobs),
+      workers: this.registry.fleet.availableWorkers(),
+      evacuatedRacks: this.registry.fleet.evacuatedRacks(),
+      runningUnits: findRunningUnits(this.registry, guaranteedJobs),
       queueMeans: this.#queueMeans,
       durations: this.#durations,
       bounds: reclaim,
-      now: this.book.now(),
+      now: this.registry.now(),
       wallMs: ctx.clock.wall(),
       approvals: this.approvals,
-      allWorkersKnown: this.book.now() - this.#startedAt >= WORKER_DISCOVERY_MS,
+      allWorkersKnown: this.registry.now() - this.#startedAt >= WORKER_DISCOVERY_MS,
     });
-    starts.forEach((start) => this.book.assignRuns(start));
+    starts.forEach((start) => this.registry.assignRuns(start));
     preemptions.forEach(({ unit, forJob }) => {
       const [first] = unit.assignments;
-      if (first !== undefined) this.book.stopRun(first, `preempted for ${forJob.id}`);
-      forJob.notePreemption(this.book.now());
+      if (first !== undefined) this.registry.stopRun(first, `preempted for ${forJob.id}`);
+      forJob.notePreemption(this.registry.now());
     });
     return approvalRequests;
   }
--- a/packages/cell/src/owner/unaccounted-runs.ts
+++ b/packages/cell/src/owner/unaccounted-runs.ts
@@ -11,11 +11,11 @@
 
 /** Called after a contact. All of the worker's runs that are not in `unaccounted` are accounted for. */
 export function trackUnaccountedRuns(
-  book: RunRegistry,
+  registry: RunRegistry,
   worker: Worker,
   unaccounted: readonly Assignment[],
 ): void {
-  const now = book.now();
+  const now = registry.now();
   worker.assignments.forEach((assignment) => {
     // The usual case: nothing was unaccounted for.
     if (assignment.unaccountedSince === undefined || unaccounted.includes(assignment)) return;
@@ -26,18 +26,18 @@
     const wasLogged = assignment.unaccountedTold;
     const unaccountedTold = wasLogged || now - since >= LOG_AFTER_MS;
     Object.assign(assignment, { unaccountedSince: since, unaccountedTold });
-    if (unaccountedTold && !wasLogged) logUnaccounted(book, worker, assignment);
+    if (unaccountedTold && !wasLogged) logUnaccounted(registry, worker, assignment);
   });
 }
 
 function logUnaccounted(
-  book: RunRegistry,
+  registry: RunRegistry,
   { vm }: Worker,
   { name, run, runner, jobId }: Assignment,
 ): void {
-  const outcome = book.jobs.get(jobId)?.progress.outcome;
-  book.count('run.unaccounted');
-  book.log('run holds capacity but its worker does not report it', {
+  const outcome = registry.jobs.get(jobId)?.progress.outcome;
+  registry.count('run.unaccounted');
+  registry.log('run holds capacity but its worker does not report it', {
     vm,
     task: name,
     run,
--- a/packages/cell/src/owner/waiting-report.ts
+++ b/packages/cell/src/owner/waiting-report.ts
@@ -24,19 +24,19 @@
   #reportedAt = -Infinity;
 
   /** Called after each pass; logs the steps that were ready before it and still wait, once per interval. */
-  logIfDue(book: RunRegistry): void {
-    const now = book.now();
+  logIfDue(registry: RunRegistry): void {
+    const now = registry.now();
     if (now - this.#reportedAt < REPORT_INTERVAL_MS) return;
     this.#reportedAt = now;
-    const waiting = [...book.jobs.values()]
+    const waiting = [...registry.jobs.values()]
       .filter(({ progress }) => progress.outcome === 'open')
       .flatMap((job) => waitingSteps(job))
       .filter(({ readySince }) => now - readySince >= MIN_WAIT_MS)
       .sort((a, b) => a.readySince - b.readySince);
     if (waiting.length === 0) return;
-    const workers = describeWorkers(book);
+    const workers = describeWorkers(registry);
     waiting.slice(0, MAX_GROUPS).forEach(({ job, step, readySince }) =>
-      book.log('group is waiting for capacity', {
+      registry.log('group is waiting for capacity', {
         job: job.id,
         step,
         waitedMs: Math.round(now - readySince),
@@ -68,18 +68,18 @@
 }
 
 /** How many workers are usable, why the others are not, and how the owner accounts for the accelerators of the usable ones. */
-function describeWorkers(book: RunRegistry): object {
-  const workers = [...book.fleet.all()];
-  const usable = workers.filter((worker) => book.fleet.isSchedulable(worker));
+function describeWorkers(registry: RunRegistry): object {
+  const workers = [...registry.fleet.all()];
+  const usable = workers.filter((worker) => registry.fleet.isSchedulable(worker));
   const sum = (of: (worker: Worker) => number): number =>
     usable.reduce((total, worker) => total + of(worker), 0);
   return {
     workers: workers.length,
     usable: usable.length,
-    evacuated: workers.filter((worker) => book.fleet.isEvacuated(worker)).length,
+    evacuated: workers.filter((worker) => registry.fleet.isEvacuated(worker)).length,
     draining: workers.filter(({ runner }) => runner?.draining).length,
     unreachable: workers.filter(({ runner }) => runner?.reachable === false).length,
-    closed: workers.filter(({ health }) => health.isQuarantined(book.now())).length,
+    closed: workers.filter(({ health }) => health.isQuarantined(registry.now())).length,
     accelerators: sum(({ runner }) => runner?.capacity.accelerators ?? 0),
     free: sum((worker) => worker.freeCapacity().accelerators),
     unaccounted: sum(unaccountedAccelerators),
